--- a/standins/routers.py
+++ b/standins/routers.py
@@ -21,7 +21,7 @@
 
 SERVICE = "lookups"
 REFUSED_PAUSE_S = 0.2
-Builder = collections.abc.Callable[[router.Surroundings], router.Router]
+Builder = collections.abc.Callable[[router.RouterDependencies], router.Router]
 
 
 @attrs.define(eq=False)
@@ -61,7 +61,7 @@
     nursery: trio.Nursery
     servers: list[backends.Server]
     rules: rules.Rules
-    build: Builder = router.chosen
+    build: Builder = router.build_default
     seed: int = 1
     platform: memory.MemoryPlatform = attrs.field(factory=memory.MemoryPlatform)
     entries: dict[str, Entry] = attrs.field(factory=dict)
@@ -78,7 +78,7 @@
             {server.vm + ":1": server for server in self.servers}, self.nursery, self.tokens
         )
         configuration = holder.ConfigurationHolder(self._configuration())
-        around = router.Surroundings(
+        around = router.RouterDependencies(
             entry=name,
             availability_zone="zone-a",
             configuration=configuration,
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -115,9 +115,9 @@
 
     def test_seven_entries_do_not_fill_eight_places_seven_times(self):
         # All entries see the same eight free places in the same lagging report.
-        full = on_test_clock(self._most_at_once, router.chosen)
+        full = on_test_clock(self._most_at_once, router.build_default)
         self.assertLessEqual(full, 16)
-        self.assertGreaterEqual(on_test_clock(self._most_at_once, router.baseline), 40)
+        self.assertGreaterEqual(on_test_clock(self._most_at_once, router.build_baseline), 40)
 
     async def _most_at_once(self, build):
         server = backends.Server("vm-0", warm=True, slots=100, report_lag_s=0.5, first_token_s=5)
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -21,11 +21,11 @@
     def test_seven_entries_share_what_one_cold_server_bears(self):
         # Callers flood all seven entries while the only server is cold and bears 3 requests.
         # Each entry alone would keep to 3; the server would get 21 and fall over.
-        self.assertEqual(3, on_test_clock(self._flood, router.chosen, 3))
+        self.assertEqual(3, on_test_clock(self._flood, router.build_default, 3))
 
     def test_baseline_overloads_a_cold_server(self):
         # The same flood with the baseline, which shows that the check above can fail.
-        self.assertGreater(on_test_clock(self._flood, router.baseline, 3), 3)
+        self.assertGreater(on_test_clock(self._flood, router.build_baseline, 3), 3)
 
     async def _flood(self, build, bearable):
         server = backends.Server("vm-0", bearable=bearable, report_lag_s=0.5)
--- a/tools/measure/routing.py
+++ b/tools/measure/routing.py
@@ -26,7 +26,7 @@
 LOADS = (0.5, 0.9, 1.5)
 SIZES = (3, 50, 500)
 DECISIONS = 2000
-POLICIES = {"baseline": router.baseline, "chosen": router.chosen}
+POLICIES = {"baseline": router.build_baseline, "chosen": router.build_default}
 CAPACITY_PER_S = SERVERS * SLOTS / (FIRST_TOKEN_S + TOKEN_S * (MEAN_TOKENS - 1))
 
 
--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -206,8 +206,8 @@
         peering.EndingSpreader(self.exchange, self.view)
 
     def _build_routing(self) -> None:
-        self.router = router.chosen(
-            router.Surroundings(
+        self.router = router.build_default(
+            router.RouterDependencies(
                 entry=self.settings.entry,
                 availability_zone=self.settings.availability_zone,
                 configuration=self.configuration,
--- a/toucanhold/gateway/attempt.py
+++ b/toucanhold/gateway/attempt.py
@@ -171,7 +171,7 @@
         if passed:
             await _begin(run, response)
             await run.reply.send(bytes(passed))
-    if splitter.has_rest:
+    if splitter.has_partial_event:
         raise calls.AnswerLostError("the stream ended within an event", was_cut=True)
     await _begin(run, response)
     await run.reply.finish()
--- a/toucanhold/routing/router.py
+++ b/toucanhold/routing/router.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class Surroundings:
+class RouterDependencies:
     """What routing rests on.
 
     :ivar entry: this entry's name
@@ -83,30 +83,32 @@
         await self.slots.release()
 
 
-def chosen(around: Surroundings) -> Router:
+def build_default(dependencies: RouterDependencies) -> Router:
     """Return routing with the chosen policies."""
-    leased = _leased_slots(around)
+    leased = _leased_slots(dependencies)
     in_flight = room.InFlight()
-    finder = _finder(around)
-    shares = cold.SlotShares(leased, around.view)
-    limits = room.EstimatedRoom(in_flight, shares, around.view, lambda: len(around.entries()))
-    isolations = isolation.Isolations(around.exchange)
+    finder = _finder(dependencies)
+    shares = cold.SlotShares(leased, dependencies.view)
+    limits = room.EstimatedRoom(
+        in_flight, shares, dependencies.view, lambda: len(dependencies.entries())
+    )
+    isolations = isolation.Isolations(dependencies.exchange)
     usable = isolation.IsolatingRoom(limits, isolations)
-    policy = choice.TwoChoices(usable, around.rng, around.availability_zone)
+    policy = choice.TwoChoices(usable, dependencies.rng, dependencies.availability_zone)
     queue = fairqueue.FairQueue(
-        around.configuration,
+        dependencies.configuration,
         finder,
-        around.view,
+        dependencies.view,
         policy,
         in_flight,
         usable,
         shares,
-        around.max_in_flight,
+        dependencies.max_in_flight,
     )
     watch = watching.SuspectWatch(
-        suspects.SuspectTable(around.exchange),
-        deaths.DeathWatch(around.view, around.plans),
-        around.view,
+        suspects.SuspectTable(dependencies.exchange),
+        deaths.DeathWatch(dependencies.view, dependencies.plans),
+        dependencies.view,
         in_flight,
     )
     admission = isolation.IsolatingAdmission(
@@ -115,32 +117,34 @@
     dispatcher = dispatch.Dispatcher(
         admission,
         finder,
-        watching.WatchingBackends(around.backends, watch),
-        watchdog.Watchdog(around.view),
+        watching.WatchingBackends(dependencies.backends, watch),
+        watchdog.Watchdog(dependencies.view),
     )
     return Router(leased, in_flight, finder, shares, usable, policy, queue, dispatcher, watch)
 
 
-def baseline(around: Surroundings) -> Router:
+def build_baseline(dependencies: RouterDependencies) -> Router:
     """Return routing with the baseline of each policy, for measurements side by side."""
-    leased = _leased_slots(around)
+    leased = _leased_slots(dependencies)
     in_flight = room.InFlight()
-    finder = _finder(around)
+    finder = _finder(dependencies)
     whole = cold.WholeLimit()
     limits = room.ReportedRoom(in_flight, whole)
     policy = choice.RoundRobin(limits)
     admission = gate.PlainQueue(finder, policy, in_flight, limits, whole)
     dispatcher = dispatch.Dispatcher(
-        admission, finder, around.backends, watchdog.Watchdog(around.view)
+        admission, finder, dependencies.backends, watchdog.Watchdog(dependencies.view)
     )
     return Router(leased, in_flight, finder, whole, limits, policy, admission, dispatcher)
 
 
-def _leased_slots(around: Surroundings) -> slots.LeasedSlots:
-    return slots.LeasedSlots(around.platform, around.entry, around.entries, around.rng)
+def _leased_slots(dependencies: RouterDependencies) -> slots.LeasedSlots:
+    return slots.LeasedSlots(
+        dependencies.platform, dependencies.entry, dependencies.entries, dependencies.rng
+    )
 
 
-def _finder(around: Surroundings) -> candidates.CandidateFinder:
+def _finder(dependencies: RouterDependencies) -> candidates.CandidateFinder:
     return candidates.CandidateFinder(
-        around.configuration, around.plans, around.view, around.may_start
+        dependencies.configuration, dependencies.plans, dependencies.view, dependencies.may_start
     )
--- a/toucanhold/routing/sse.py
+++ b/toucanhold/routing/sse.py
@@ -38,7 +38,7 @@
     _buffer: bytearray = attrs.field(factory=bytearray)
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether the bytes so far end within an event."""
         return bool(self._buffer)
 
