--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -35,7 +35,7 @@
         taken = []
         for _ in range(30):
             workspace, _ = order.pop()
-            order.make_ready(workspace)
+            order.mark_ready(workspace)
             taken.append(workspace)
         self.assertEqual(20, taken.count("light"))
 
@@ -51,7 +51,7 @@
         taken = []
         for _ in range(6):
             workspace, _ = order.pop()
-            order.make_ready(workspace)
+            order.mark_ready(workspace)
             taken.append(workspace)
         self.assertEqual(3, taken.count("new"))
         self.assertEqual("new", taken[0])
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -11,7 +11,7 @@
 from toucanhold.backends import client
 from toucanhold.configuration import inventory
 from toucanhold.observing import view
-from toucanhold.routing import affinity, candidates, choice, cold, room, router
+from toucanhold.routing import affinity, candidates, capacity, choice, cold, router
 
 RULES = routers.plain_rules()
 
@@ -44,13 +44,15 @@
 
 def policy(in_flight, entries=1, seen=None):
     """Return the chosen policy."""
-    limits = room.EstimatedRoom(in_flight, cold.WholeLimit(), seen or view.View(), lambda: entries)
+    limits = capacity.EstimatedCapacity(
+        in_flight, cold.UnsharedLimit(), seen or view.View(), lambda: entries
+    )
     return choice.TwoChoices(limits, random.Random(1), "zone-a")
 
 
 class TwoChoicesTest(unittest.TestCase):
     def test_one_prefix_stays_on_one_server_until_it_is_fuller_than_others(self):
-        in_flight, options = room.InFlight(), candidate_set(10)
+        in_flight, options = capacity.InFlight(), candidate_set(10)
         chooser = policy(in_flight)
         first = {chooser.choose(Request(prefix=99), options).vm.vm for _ in range(50)}
         self.assertEqual(1, len(first))
@@ -61,7 +63,7 @@
         self.assertLessEqual(max(counts), 8)
 
     def test_prefixes_spread_over_servers_and_move_little_when_one_leaves(self):
-        chooser, ten, nine = policy(room.InFlight()), candidate_set(10), candidate_set(9)
+        chooser, ten, nine = policy(capacity.InFlight()), candidate_set(10), candidate_set(9)
         before = {key: chooser.choose(Request(prefix=key), ten).vm.vm for key in _keys()}
         smaller = candidates.CandidateSet(nine.options, nine.by_vm, 2)
         after = {key: chooser.choose(Request(prefix=key), smaller).vm.vm for key in _keys()}
@@ -70,7 +72,7 @@
         self.assertEqual(0, moved)
 
     def test_all_full_gives_none(self):
-        in_flight, options = room.InFlight(), candidate_set(3)
+        in_flight, options = capacity.InFlight(), candidate_set(3)
         for each in options:
             for _ in range(8):
                 in_flight.add(each.vm.vm)
@@ -78,7 +80,7 @@
 
     def test_own_zone_is_preferred_between_equals(self):
         options = candidate_set(30, ("zone-a", "zone-b", "zone-c"))
-        chooser = policy(room.InFlight())
+        chooser = policy(capacity.InFlight())
         zones = collections.Counter(
             chooser.choose(Request(), options).vm.availability_zone for _ in range(600)
         )
@@ -104,8 +106,8 @@
 class EstimateTest(unittest.TestCase):
     def test_own_requests_are_not_counted_twice(self):
         # Four of the five requests that the report tells are this entry's own and still run.
-        seen, in_flight = view.View(), room.InFlight()
-        limits = room.EstimatedRoom(in_flight, cold.WholeLimit(), seen, lambda: 1)
+        seen, in_flight = view.View(), capacity.InFlight()
+        limits = capacity.EstimatedCapacity(in_flight, cold.UnsharedLimit(), seen, lambda: 1)
         for _ in range(4):
             in_flight.add("vm-0")
         report = client.Report("vm-0", "boot", client.Warmth.WARM, running=5, slots=8)
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -210,20 +210,20 @@
     async def _let_go(self):
         platform = memory.MemoryPlatform()
         client, names = platform.client("a"), ["a"]
-        held = slots.LeasedSlots(client, "a", lambda: names, random.Random(1))
+        leased = slots.LeasedSlots(client, "a", lambda: names, random.Random(1))
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(held.run)
+            nursery.start_soon(leased.run)
             await trio.sleep(20)
-            self.assertEqual(slots.SLOTS, held.held())
+            self.assertEqual(slots.SLOT_COUNT, leased.held_count())
             platform.faults["a"].lose_requests = 1
             platform.faults["a"].lose_kinds = ("kv/txn",)
             names.append("b")
             before = (await client.read(slots.SLOTS_PREFIX)).revision
-            while held.held() == slots.SLOTS:
+            while leased.held_count() == slots.SLOT_COUNT:
                 await trio.sleep(0.05)
             names.remove("b")
             await trio.sleep(20)
-            self.assertEqual(slots.SLOTS, held.held())
+            self.assertEqual(slots.SLOT_COUNT, leased.held_count())
             items = (await client.read(slots.SLOTS_PREFIX)).items
             self.assertEqual(128, sum(item.create_revision > before for item in items))
             nursery.cancel_scope.cancel()
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -194,30 +194,30 @@
             await trio.sleep(2)
             entry = site.entries["entry-0"]
             async with entry.router.dispatcher.serve(site.request(timeout_s=600)):
-                await trio.sleep(relay.STALLED_CALLER_S + 20)
+                await trio.sleep(relay.CALLER_STALL_TIMEOUT_S + 20)
                 self.assertEqual(0, made[0].running)
 
     def test_what_waits_is_put_together(self):
         on_test_clock(self._together)
 
     async def _together(self):
-        passing = relay.Relay()
+        response_relay = relay.Relay()
         for part in (b"a", b"b", b"c"):
-            passing.put(part)
-        passing.end()
-        self.assertEqual([b"abc"], [chunk async for chunk in passing.chunks()])
+            response_relay.put(part)
+        response_relay.end()
+        self.assertEqual([b"abc"], [chunk async for chunk in response_relay.chunks()])
 
 
 class StreamPositionTest(unittest.TestCase):
     def test_events_passed_on_before_are_dropped(self):
         position = resuming.StreamPosition()
         events = [sse.ServerSentEvent(b"", b"%d" % number, b"x") for number in range(4)]
-        self.assertTrue(all(map(position.admits, events[:3])))
+        self.assertTrue(all(map(position.accept, events[:3])))
         position.begin_attempt()
-        self.assertEqual([False, False, False, True], list(map(position.admits, events)))
+        self.assertEqual([False, False, False, True], list(map(position.accept, events)))
 
     def test_gap_is_a_failure(self):
         position = resuming.StreamPosition()
-        position.admits(sse.ServerSentEvent(b"", b"0", b"x"))
+        position.accept(sse.ServerSentEvent(b"", b"0", b"x"))
         with self.assertRaises(resuming.StreamGapError):
-            position.admits(sse.ServerSentEvent(b"", b"2", b"x"))
+            position.accept(sse.ServerSentEvent(b"", b"2", b"x"))
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -42,9 +42,9 @@
 
 def connect(fleet, entry):
     """Connect an entry to those that are connected already."""
-    own = entry.router.watch.table.exchange
+    own = entry.router.tracker.table.exchange
     for other in fleet.entries.values():
-        theirs = other.router.watch.table.exchange
+        theirs = other.router.tracker.table.exchange
         if other is not entry and entry.name not in theirs.connected():
             _pipe(fleet, own, entry.name, theirs, other.name)
             _pipe(fleet, theirs, other.name, own, entry.name)
@@ -172,7 +172,7 @@
             self.assertEqual("refused-for-good", ends.pop(CRASHER)[0])
             self.assertEqual({("whole", "ran")}, set(ends.values()))
             self.assertEqual(2, restarts(servers))
-            table = entry.router.watch.table
+            table = entry.router.tracker.table
             self.assertEqual(1, len(table._suspects))
 
     def test_domain_that_goes_dark_condemns_nobody(self):
@@ -205,8 +205,8 @@
                 await trio.sleep(5)
             self.assertEqual({("whole", "ran")}, set(ends))
             for entry in fleet.entries.values():
-                table = entry.router.watch.table
-                self.assertFalse([each for each in table._suspects if table.is_condemned(each)])
+                table = entry.router.tracker.table
+                self.assertFalse([each for each in table._suspects if table.is_quarantined(each)])
 
     def test_cut_connection_of_a_living_server_is_no_death(self):
         on_test_clock(self._cut)
@@ -241,14 +241,14 @@
     async def _bounds(self):
         table = suspects.SuspectTable(exchange.Exchange())
         for boot in (("vm-1", "b1"), ("vm-2", "b2")):
-            table.judge(b"bad", table.add(b"bad", boot, 1, True), suspects.Verdict.DIED)
-        for number in range(suspects.MAX_REQUESTS + 50):
+            table.set_verdict(b"bad", table.add(b"bad", boot, 1, True), suspects.Verdict.DIED)
+        for number in range(suspects.MAX_SUSPECTS + 50):
             await trio.sleep(0.1)
             table.add(b"%d" % number, (f"vm-{number}", "b"), 3, False)
-        self.assertEqual(suspects.MAX_REQUESTS, len(table._suspects))
-        self.assertTrue(table.is_condemned(b"bad"))
-        await trio.sleep(suspects.KEPT_S + 1)
-        self.assertFalse(table.is_condemned(b"bad"))
+        self.assertEqual(suspects.MAX_SUSPECTS, len(table._suspects))
+        self.assertTrue(table.is_quarantined(b"bad"))
+        await trio.sleep(suspects.RETENTION_S + 1)
+        self.assertFalse(table.is_quarantined(b"bad"))
         self.assertFalse(table.is_suspect(b"1049"))
 
     def test_deaths_in_company_alone_condemn_nobody(self):
@@ -259,6 +259,6 @@
         for number in range(5):
             for each in (b"one", b"two"):
                 incident = table.add(each, (f"vm-{number}", "b"), 1, False)
-                table.judge(each, incident, suspects.Verdict.DIED)
-        self.assertFalse(table.is_condemned(b"one"))
+                table.set_verdict(each, incident, suspects.Verdict.DIED)
+        self.assertFalse(table.is_quarantined(b"one"))
         self.assertTrue(table.is_suspect(b"one"))
--- a/toucanhold/routing/__init__.py
+++ b/toucanhold/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Admits requests, chooses backend servers and passes answers on."""
+"""Admits requests, chooses backend servers and forwards their answers to callers."""
--- a/toucanhold/routing/attempts.py
+++ b/toucanhold/routing/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt after the other to get a request's answer from a backend server."""
+"""Runs single attempts of a request on backend servers and forwards the answer."""
 
 from __future__ import annotations
 
@@ -10,27 +10,28 @@
 
 from toucanhold import events
 from toucanhold.backends import client, http
-from toucanhold.routing import gate, relay, requests, resuming, sse, watchdog
+from toucanhold.routing import admission, relay, requests, resuming, sse, watchdog
 
 if typing.TYPE_CHECKING:
     from toucanhold.routing import dispatch
 
-ANSWER_LIMIT_BYTES = 16 * 1024 * 1024
+MAX_ANSWER_BYTES = 16 * 1024 * 1024
 RETRY_AFTER_S = 1.0
-FRAMING_END_S = 1.0
-PASSED_ON_HEADERS = (b"content-type",)
-# What engines publish as refusals of requests that they have not begun.
-NOT_RUN_TYPES = ("wrong_group", "not_serving", "model_not_found")
+DRAIN_TIMEOUT_S = 1.0
+FORWARDED_RESPONSE_HEADERS = (b"content-type",)
+# Error types that engines document as refusals before a request was started.
+NOT_STARTED_ERROR_TYPES = ("wrong_group", "not_serving", "model_not_found")
 RETRYABLE_STATUSES = (429, 500, 502, 503, 504)
 
 LOGGER = logging.getLogger(__name__)
 
 
 class RetryableError(Exception):
-    """An attempt failed in a way that may be tried again.
+    """An attempt failed and another one is safe.
 
-    :ivar error: the answer if it is not
-    :ivar has_begun: whether a part of the answer was passed on
+    :ivar vm: the VM that the attempt ran on
+    :ivar error: the answer to the caller if there is no further attempt
+    :ivar has_begun: whether a part of the answer was forwarded to the caller
     """
 
     def __init__(self, vm: str, error: requests.RequestError, has_begun: bool) -> None:
@@ -41,140 +42,152 @@
 
 
 @attrs.define(eq=False)
-class Attempt:
-    """The attempts of one request.
+class AttemptRunner:
+    """Runs the attempts of one request, one after another.
 
-    :ivar was_sent: whether a byte of it may have left
+    :ivar may_have_been_sent: whether any byte of the request may have left this entry
     """
 
-    owner: dispatch.Dispatcher
+    dispatcher: dispatch.Dispatcher
     request: requests.CallerRequest
-    passing: relay.Relay
-    position: resuming.StreamPosition
-    was_sent: bool = False
-    _avoid: frozenset[str] = frozenset()
-    _version: tuple[str | None, str] | None = None
+    response_relay: relay.Relay
+    stream_position: resuming.StreamPosition
+    may_have_been_sent: bool = False
+    _failed_vms: frozenset[str] = frozenset()
+    _model_version: tuple[str | None, str] | None = None
 
     async def run(self) -> None:
-        """Try once.
+        """Run one attempt.
 
         :raises RetryableError: when another attempt is safe
-        :raises requests.RequestError: when this is the final answer
+        :raises requests.RequestError: when the request must not be tried again
         """
-        async with self.owner.admission.place(self.request, self._avoid) as placement:
+        async with self.dispatcher.admission.place(self.request, self._failed_vms) as placement:
             self._check_version(placement)
             _log_routed(self.request, placement)
-            watched = watchdog.WatchedAttempt(placement.candidate)
+            watched_attempt = watchdog.WatchedAttempt(placement.candidate)
             if self.request.may_repeat:
-                self.owner.watchdog.add(watched)
+                self.dispatcher.watchdog.add(watched_attempt)
             try:
-                with watched.scope:
-                    await self._exchange(placement, watched)
+                with watched_attempt.scope:
+                    await self._send_and_forward(placement, watched_attempt)
             finally:
-                self.owner.watchdog.remove(watched)
-            if watched.scope.cancelled_caught:
-                raise self._failed(placement, _lost(self.request, watched.reason))
-
-    def _check_version(self, placement: gate.Placement) -> None:
-        # The rest of a stream from another model or version would be another text.
+                self.dispatcher.watchdog.remove(watched_attempt)
+            if watched_attempt.scope.cancelled_caught:
+                raise self._record_failure(
+                    placement, _lost_error(self.request, watched_attempt.reason)
+                )
+
+    def _check_version(self, placement: admission.Placement) -> None:
+        # A stream resumed on another model or version would continue with a different text.
         report = placement.candidate.report
         version = (report.model, report.version)
-        if self.position.has_begun and version != self._version:
-            placement.finished = True
-            raise _lost(self.request, "no backend server of the same model version is left")
-        self._version = version
+        if self.stream_position.has_begun and version != self._model_version:
+            placement.is_finished = True
+            raise _lost_error(self.request, "no backend server of the same model version is left")
+        self._model_version = version
 
-    async def _exchange(self, placement: gate.Placement, watched: watchdog.WatchedAttempt) -> None:
+    async def _send_and_forward(
+        self, placement: admission.Placement, watched_attempt: watchdog.WatchedAttempt
+    ) -> None:
         vm = placement.candidate.vm
-        forwarded = self._forwarded(placement)
-        sent_before, self.was_sent = self.was_sent, True
+        forwarded = self._build_forwarded_request(placement)
+        was_sent_before, self.may_have_been_sent = self.may_have_been_sent, True
         try:
-            async with self.owner.backends.forward(vm.address, forwarded) as response:
-                await self._pass_on(response, placement, watched)
+            async with self.dispatcher.backends.forward(vm.address, forwarded) as response:
+                await self._forward_response(response, placement, watched_attempt)
         except client.NotSentError as error:
-            placement.finished, self.was_sent = True, sent_before
-            raise self._failed(placement, _did_not_run(str(error))) from error
+            placement.is_finished, self.may_have_been_sent = True, was_sent_before
+            raise self._record_failure(placement, _not_run_error(str(error))) from error
         except (client.BackendError, sse.FramingError) as error:
-            lost = _lost(self.request, str(error))
+            lost_error = _lost_error(self.request, str(error))
             if not self.request.may_repeat:
-                self.owner.finder.distrust(vm.vm, trio.current_time())
-                raise lost from error
-            raise self._failed(placement, lost) from error
+                self.dispatcher.finder.require_new_report(vm.vm, trio.current_time())
+                raise lost_error from error
+            raise self._record_failure(placement, lost_error) from error
 
-    def _failed(
-        self, placement: gate.Placement, error: requests.RequestError
+    def _record_failure(
+        self, placement: admission.Placement, error: requests.RequestError
     ) -> RetryableError | requests.RequestError:
         vm = placement.candidate.vm.vm
-        self.owner.finder.distrust(vm, trio.current_time())
-        self._avoid |= {vm}
-        if self.position.has_begun and self.position.last_id is None:
-            # Without numbers nobody can tell which events a second stream would repeat.
+        self.dispatcher.finder.require_new_report(vm, trio.current_time())
+        self._failed_vms |= {vm}
+        if self.stream_position.has_begun and self.stream_position.last_event_id is None:
+            # Without event ids, events that a second stream repeats cannot be recognised.
             return error
-        return RetryableError(vm, error, self.position.has_begun)
+        return RetryableError(vm, error, self.stream_position.has_begun)
 
-    async def _pass_on(
+    async def _forward_response(
         self,
         response: client.ForwardedResponse,
-        placement: gate.Placement,
-        watched: watchdog.WatchedAttempt,
+        placement: admission.Placement,
+        watched_attempt: watchdog.WatchedAttempt,
     ) -> None:
         if self.request.stream and response.status == 200:
-            await self._pass_stream(response, placement, watched)
+            await self._forward_stream(response, placement, watched_attempt)
         else:
-            body = await _read_whole(response)
-            placement.finished = True
+            body = await _read_body(response)
+            placement.is_finished = True
             if placement.candidate.group is not None:
                 self._check_engine_status(response.status, body, placement)
-            if self.position.has_begun:
-                raise self._failed(placement, _lost(self.request, "the stream was not resumed"))
-            self.passing.start(response.status, _passed_on(response.headers))
-            self.passing.put(body)
+            if self.stream_position.has_begun:
+                raise self._record_failure(
+                    placement, _lost_error(self.request, "the stream was not resumed")
+                )
+            self.response_relay.start(response.status, _forwarded_headers(response.headers))
+            self.response_relay.put(body)
         _log_finished(self.request, placement, response.status)
 
-    def _check_engine_status(self, status: int, body: bytes, placement: gate.Placement) -> None:
-        kind = http.error_type(body) if status >= 400 else ""
-        if kind in NOT_RUN_TYPES:
-            raise self._failed(placement, _did_not_run(f"the engine refused: {kind}"))
+    def _check_engine_status(
+        self, status: int, body: bytes, placement: admission.Placement
+    ) -> None:
+        error_type = http.error_type(body) if status >= 400 else ""
+        if error_type in NOT_STARTED_ERROR_TYPES:
+            raise self._record_failure(
+                placement, _not_run_error(f"the engine refused the request: {error_type}")
+            )
         if status in RETRYABLE_STATUSES:
-            # Nothing published says that the engine had not begun.
-            raise self._failed(placement, _lost(self.request, f"the engine answered {status}"))
+            # Such a status does not prove that the engine had not started the request.
+            raise self._record_failure(
+                placement, _lost_error(self.request, f"the engine answered {status}")
+            )
 
-    async def _pass_stream(
+    async def _forward_stream(
         self,
         response: client.ForwardedResponse,
-        placement: gate.Placement,
-        watched: watchdog.WatchedAttempt,
+        placement: admission.Placement,
+        watched_attempt: watchdog.WatchedAttempt,
     ) -> None:
         splitter = sse.EventSplitter()
-        self.position.begin_attempt()
-        headers = _passed_on(response.headers)
+        self.stream_position.begin_attempt()
+        headers = _forwarded_headers(response.headers)
         async for chunk in response.chunks:
-            watched.last_event_s = trio.current_time()
+            watched_attempt.last_event_s = trio.current_time()
             for event in splitter.feed(chunk):
-                if self.position.admits(event):
-                    self.passing.start(200, headers)
-                    self.passing.put(event.raw)
-                if self.position.is_complete:
-                    placement.finished = True
-                    await _read_framing_end(response)
+                if self.stream_position.accept(event):
+                    self.response_relay.start(200, headers)
+                    self.response_relay.put(event.raw)
+                if self.stream_position.is_complete:
+                    placement.is_finished = True
+                    await _drain(response)
                     return
-            if self.passing.is_full():
-                watched.last_event_s = float("inf")
-                await self.passing.wait_space()
-        # A connection that closes cleanly before the end marker would look like a short answer.
+            if self.response_relay.is_full():
+                watched_attempt.last_event_s = float("inf")
+                await self.response_relay.wait_space()
+        # By its framing alone, a stream that closes cleanly without its end marker looks complete.
         raise client.AnswerLostError("the stream ended before its end marker")
 
-    def _forwarded(self, placement: gate.Placement) -> client.ForwardedRequest:
+    def _build_forwarded_request(self, placement: admission.Placement) -> client.ForwardedRequest:
         request, chosen = self.request, placement.candidate
-        warm = chosen.report.warmth is client.Warmth.WARM
+        is_warm = chosen.report.warmth is client.Warmth.WARM
         headers = list(request.headers)
         if chosen.group is not None:
             headers += [
                 (b"toucanhold-group", chosen.group.group.encode()),
                 (b"toucanhold-generation", str(chosen.group.generation).encode()),
             ]
-        if self.position.last_id is not None:
-            headers.append((b"last-event-id", str(self.position.last_id).encode()))
+        if self.stream_position.last_event_id is not None:
+            headers.append((b"last-event-id", str(self.stream_position.last_event_id).encode()))
         if request.idempotency_key:
             headers.append((b"idempotency-key", request.idempotency_key.encode()))
         return client.ForwardedRequest(
@@ -186,23 +199,23 @@
             max(0.001, request.deadline_s - trio.current_time()),
             fresh_connection=not request.may_repeat,
             boot_id=chosen.report.boot_id,
-            warm_only=warm,
-            guard=None if warm else placement.may_send,
+            warm_only=is_warm,
+            guard=None if is_warm else placement.may_send,
         )
 
 
-async def _read_whole(response: client.ForwardedResponse) -> bytes:
+async def _read_body(response: client.ForwardedResponse) -> bytes:
     body = bytearray()
     async for chunk in response.chunks:
         body += chunk
-        if len(body) > ANSWER_LIMIT_BYTES:
-            raise client.AnswerLostError("the answer exceeds its limit")
+        if len(body) > MAX_ANSWER_BYTES:
+            raise client.AnswerLostError(f"the answer exceeds {MAX_ANSWER_BYTES} bytes")
     return bytes(body)
 
 
-async def _read_framing_end(response: client.ForwardedResponse) -> None:
-    # The answer is whole already; this only lets its connection carry another request.
-    with trio.move_on_after(FRAMING_END_S):
+async def _drain(response: client.ForwardedResponse) -> None:
+    # The answer is complete; reading to the end of the body lets the connection be reused.
+    with trio.move_on_after(DRAIN_TIMEOUT_S):
         try:
             async for _ in response.chunks:
                 return
@@ -210,17 +223,19 @@
             LOGGER.debug("after the end marker: %s", error)
 
 
-def _passed_on(headers: client.Headers) -> client.Headers:
-    return tuple((key, value) for key, value in headers if key.lower() in PASSED_ON_HEADERS)
+def _forwarded_headers(headers: client.Headers) -> client.Headers:
+    return tuple(
+        (key, value) for key, value in headers if key.lower() in FORWARDED_RESPONSE_HEADERS
+    )
 
 
-def _did_not_run(detail: str) -> requests.RequestError:
+def _not_run_error(detail: str) -> requests.RequestError:
     return requests.RequestError(
         requests.Problem.NO_CAPACITY, requests.Outcome.DID_NOT_RUN, detail, RETRY_AFTER_S
     )
 
 
-def _lost(request: requests.CallerRequest, detail: str) -> requests.RequestError:
+def _lost_error(request: requests.CallerRequest, detail: str) -> requests.RequestError:
     if request.may_repeat:
         return requests.RequestError(
             requests.Problem.BACKEND_FAILED, requests.Outcome.UNKNOWN, detail, RETRY_AFTER_S
@@ -228,7 +243,7 @@
     return requests.RequestError(requests.Problem.OUTCOME_UNKNOWN, requests.Outcome.UNKNOWN, detail)
 
 
-def _log_routed(request: requests.CallerRequest, placement: gate.Placement) -> None:
+def _log_routed(request: requests.CallerRequest, placement: admission.Placement) -> None:
     chosen = placement.candidate
     fields: dict[str, typing.Any] = {
         "request_id": request.request_id,
@@ -242,7 +257,9 @@
     events.log(LOGGER, events.Event.REQUEST_ROUTED, **fields)
 
 
-def _log_finished(request: requests.CallerRequest, placement: gate.Placement, status: int) -> None:
+def _log_finished(
+    request: requests.CallerRequest, placement: admission.Placement, status: int
+) -> None:
     events.log(
         LOGGER,
         events.Event.REQUEST_FINISHED,
--- a/toucanhold/routing/budget.py
+++ b/toucanhold/routing/budget.py
@@ -1,23 +1,23 @@
-"""A budget that keeps retries a small share of all requests."""
+"""Limits retries to a small share of all requests."""
 
 import attrs
 
-RETRIES_PER_REQUEST = 0.1
-MAX_SAVED_RETRIES = 10.0
+TOKENS_PER_REQUEST = 0.1
+MAX_RETRY_TOKENS = 10.0
 
 
 @attrs.define(eq=False)
 class RetryBudget:
-    """A token bucket that requests fill and retries empty."""
+    """A token bucket that first attempts fill and retries drain."""
 
-    _tokens: float = MAX_SAVED_RETRIES
+    _tokens: float = MAX_RETRY_TOKENS
 
-    def note_request(self) -> None:
-        """Earn for a first attempt."""
-        self._tokens = min(MAX_SAVED_RETRIES, self._tokens + RETRIES_PER_REQUEST)
+    def record_request(self) -> None:
+        """Add the tokens that a first attempt earns."""
+        self._tokens = min(MAX_RETRY_TOKENS, self._tokens + TOKENS_PER_REQUEST)
 
-    def take(self) -> bool:
-        """Pay for one retry; false where there is nothing left."""
+    def try_spend(self) -> bool:
+        """Take one token for a retry; return False if there is none."""
         # When every backend server fails, retries would multiply the load that made them fail.
         if self._tokens < 1:
             return False
--- a/toucanhold/routing/candidates.py
+++ b/toucanhold/routing/candidates.py
@@ -1,4 +1,4 @@
-"""Which backend servers may get work now."""
+"""Finds the backend servers that may receive requests now."""
 
 import collections.abc
 import math
@@ -18,7 +18,7 @@
     :ivar vm: the VM that takes the request: rank 0 of a group, or a plain service's VM
     :ivar report: the latest report of ``vm``
     :ivar group: the whole group; None for a plain service
-    :ivar fresh_until_s: when the oldest report that it rests on ceases to count
+    :ivar fresh_until_s: monotonic time at which the oldest report behind it expires
     """
 
     vm: inventory.Vm
@@ -29,15 +29,15 @@
 
 @attrs.frozen(eq=False)
 class CandidateSet(collections.abc.Sequence):
-    """The candidates of one service; good until the next await.
+    """The candidates of one service; valid only until the next await.
 
-    :ivar by_vm: the candidates by the names of their VMs
-    :ivar members: changes whenever a VM joins or leaves the set
+    :ivar by_vm: the candidates by VM name
+    :ivar membership_version: changes whenever a VM joins or leaves the set
     """
 
     options: tuple[Candidate, ...] = ()
     by_vm: collections.abc.Mapping[str, Candidate] = attrs.field(factory=dict)
-    members: int = 0
+    membership_version: int = 0
 
     def __len__(self) -> int:
         return len(self.options)
@@ -50,8 +50,12 @@
 
 
 @attrs.frozen
-class _Place:
-    """A group of the plan or a plain service's VM, whatever its reports say."""
+class _ServingUnit:
+    """A group of the plan or a plain service's VM, whether or not it is available.
+
+    :ivar head: the VM that takes the requests
+    :ivar group: None for a plain service
+    """
 
     head: inventory.Vm
     members: tuple[inventory.Vm, ...]
@@ -59,31 +63,33 @@
 
 
 @attrs.define(eq=False)
-class _ServicePlaces:
-    """The places of one service and what was found there last.
+class _ServiceState:
+    """The serving units of one service and their cached candidates.
 
-    :ivar changed: names of heads whose reports have changed since
-    :ivar recheck_s: when the first report ceases to count
+    :ivar units: serving units by the VM name of their head
+    :ivar stale_heads: heads of units that must be evaluated again
+    :ivar candidates_by_head: candidates by the VM name of their head
+    :ivar recheck_at_s: monotonic time at which the first report expires
     """
 
     service: rules.Service
-    places: dict[str, _Place] = attrs.field(factory=dict)
-    changed: set[str] = attrs.field(factory=set)
-    found: dict[str, Candidate] = attrs.field(factory=dict)
+    units: dict[str, _ServingUnit] = attrs.field(factory=dict)
+    stale_heads: set[str] = attrs.field(factory=set)
+    candidates_by_head: dict[str, Candidate] = attrs.field(factory=dict)
     options: CandidateSet = NO_CANDIDATES
-    recheck_s: float = -math.inf
+    recheck_at_s: float = -math.inf
 
 
 @attrs.frozen(eq=False)
 class _Basis:
-    """What all places were derived from."""
+    """The inputs from which the serving units were derived."""
 
     configuration: snapshot.Configuration
     plan_changes: int
     platform_leaving: frozenset[str]
 
     def is_same(self, other: "_Basis | None") -> bool:
-        """Tell without comparing configurations, which would cost more than it saves."""
+        """Compare configurations by identity: comparing contents would cost more than it saves."""
         return (
             other is not None
             and self.configuration is other.configuration
@@ -94,11 +100,11 @@
 
 @attrs.define(eq=False)
 class CandidateFinder:
-    """Filters the plan by what the members themselves report.
+    """Filters the plan by the reports of the group members.
 
-    What was found is kept, and only places with a new or aged report are looked at again.
+    Candidates are cached; only units with a new or an expired report are evaluated again.
 
-    :ivar may_start: whether this entry's configuration is late enough for new work
+    :ivar may_start: returns whether this entry's configuration is recent enough for new work
     """
 
     configuration: holder.ConfigurationHolder
@@ -106,114 +112,118 @@
     view: view.View
     may_start: collections.abc.Callable[[], bool] = lambda: True
     _basis: _Basis | None = attrs.field(default=None, init=False)
-    _services: dict[str, _ServicePlaces] = attrs.field(factory=dict, init=False)
-    _places_of_vm: dict[str, list[tuple[_ServicePlaces, str]]] = attrs.field(
-        factory=dict, init=False
-    )
-    _members: int = attrs.field(default=0, init=False)
-    _distrusted_at_s: dict[str, float] = attrs.field(factory=dict, init=False)
+    _services: dict[str, _ServiceState] = attrs.field(factory=dict, init=False)
+    _units_by_vm: dict[str, list[tuple[_ServiceState, str]]] = attrs.field(factory=dict, init=False)
+    _membership_version: int = attrs.field(default=0, init=False)
+    _report_required_after_s: dict[str, float] = attrs.field(factory=dict, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Follow the reports."""
-        self.view.subscribe(self._mark_changed)
+        """Subscribe to the reports."""
+        self.view.subscribe(self._mark_stale)
 
     def find(self, service: rules.Service, now_s: float) -> CandidateSet:
-        """Return all candidates of a service."""
+        """Return all candidates of a service at the monotonic time ``now_s``."""
         if not self.may_start():
             return ()
-        self._follow_basis()
-        known = self._services.get(service.name)
-        if known is None:
+        self._rebuild_if_changed()
+        state = self._services.get(service.name)
+        if state is None:
             return NO_CANDIDATES
-        if now_s > known.recheck_s:
-            known.recheck_s = math.inf
-            known.changed.update(known.places)
-        if known.changed:
-            for head in known.changed:
-                self._look_again(known, known.places[head], now_s)
-            known.changed.clear()
-            known.options = CandidateSet(tuple(known.found.values()), known.found, self._members)
-        return known.options
+        if now_s > state.recheck_at_s:
+            state.recheck_at_s = math.inf
+            state.stale_heads.update(state.units)
+        if state.stale_heads:
+            for head in state.stale_heads:
+                self._refresh_unit(state, state.units[head], now_s)
+            state.stale_heads.clear()
+            state.options = CandidateSet(
+                tuple(state.candidates_by_head.values()),
+                state.candidates_by_head,
+                self._membership_version,
+            )
+        return state.options
 
     def candidate_of(self, service: rules.Service, vm: str, now_s: float) -> Candidate | None:
-        """Return the candidate whose requests go to ``vm`` or to the group that it is in."""
+        """Return the candidate that consists of ``vm`` or of the group that contains it."""
         self.find(service, now_s)
-        for known, head in self._places_of_vm.get(vm, ()):
-            if known.service.name == service.name:
-                return known.found.get(head)
+        for state, head in self._units_by_vm.get(vm, ()):
+            if state.service.name == service.name:
+                return state.candidates_by_head.get(head)
         return None
 
-    def distrust(self, vm: str, now_s: float) -> None:
-        """Hold a VM back until a report that is asked for after ``now_s``."""
-        # Its connection broke: it may have restarted and be cold, and the last report cannot tell.
-        self._distrusted_at_s[vm] = now_s
-        self._mark_changed(vm)
-
-    def is_held_back(self, service: rules.Service, now_s: float) -> bool:
-        """Tell whether a place of the service only waits for its next report after a failure."""
-        known = self._services.get(service.name)
-        return known is not None and any(
-            self._is_distrusted(member) and self.view.fresh_report(member.vm, now_s) is not None
-            for place in known.places.values()
-            for member in place.members
+    def require_new_report(self, vm: str, now_s: float) -> None:
+        """Exclude a VM until there is a report that was requested after ``now_s``."""
+        # Its connection broke: it may have restarted cold, which the last report cannot show.
+        self._report_required_after_s[vm] = now_s
+        self._mark_stale(vm)
+
+    def is_awaiting_report(self, service: rules.Service, now_s: float) -> bool:
+        """Tell whether a VM of the service is excluded only until its next report."""
+        state = self._services.get(service.name)
+        return state is not None and any(
+            self._needs_new_report(member) and self.view.fresh_report(member.vm, now_s) is not None
+            for unit in state.units.values()
+            for member in unit.members
         )
 
-    def _is_distrusted(self, vm: inventory.Vm) -> bool:
+    def _needs_new_report(self, vm: inventory.Vm) -> bool:
         observation = self.view.observation(vm.vm)
-        distrusted_at_s = self._distrusted_at_s.get(vm.vm, -math.inf)
-        return observation is None or observation.asked_at_s <= distrusted_at_s
+        required_after_s = self._report_required_after_s.get(vm.vm, -math.inf)
+        return observation is None or observation.asked_at_s <= required_after_s
 
-    def _mark_changed(self, vm: str) -> None:
-        for known, head in self._places_of_vm.get(vm, ()):
-            known.changed.add(head)
+    def _mark_stale(self, vm: str) -> None:
+        for state, head in self._units_by_vm.get(vm, ()):
+            state.stale_heads.add(head)
 
-    def _follow_basis(self) -> None:
+    def _rebuild_if_changed(self) -> None:
         current = self.configuration.current
         basis = _Basis(current, self.plans.changes, self.view.platform_leaving)
         if basis.is_same(self._basis):
             return
         self._basis = basis
-        self._members += 1
-        self._services = {each.name: _ServicePlaces(each) for each in current.rules.services}
-        self._places_of_vm = {}
+        self._membership_version += 1
+        self._services = {each.name: _ServiceState(each) for each in current.rules.services}
+        self._units_by_vm = {}
         vms = current.inventory.by_name()
         for vm in vms.values():
             if vm.service in self._services:
-                self._add_place(vm.service, _Place(vm, (vm,), None))
+                self._add_unit(vm.service, _ServingUnit(vm, (vm,), None))
         for group in self.plans.groups():
             if group.service in self._services and all(name in vms for name in group.members):
                 members = tuple(vms[name] for name in group.members)
-                self._add_place(group.service, _Place(members[0], members, group))
-
-    def _add_place(self, service: str, place: _Place) -> None:
-        known = self._services[service]
-        known.places[place.head.vm] = place
-        for member in place.members:
-            self._places_of_vm.setdefault(member.vm, []).append((known, place.head.vm))
-
-    def _look_again(self, known: _ServicePlaces, place: _Place, now_s: float) -> None:
-        candidate = self._candidate(known.service, place, now_s)
-        if (candidate is None) == (place.head.vm in known.found):
-            self._members += 1
+                self._add_unit(group.service, _ServingUnit(members[0], members, group))
+
+    def _add_unit(self, service: str, unit: _ServingUnit) -> None:
+        state = self._services[service]
+        state.units[unit.head.vm] = unit
+        for member in unit.members:
+            self._units_by_vm.setdefault(member.vm, []).append((state, unit.head.vm))
+
+    def _refresh_unit(self, state: _ServiceState, unit: _ServingUnit, now_s: float) -> None:
+        candidate = self._evaluate_unit(state.service, unit, now_s)
+        if (candidate is None) == (unit.head.vm in state.candidates_by_head):
+            self._membership_version += 1
         if candidate is None:
-            known.found.pop(place.head.vm, None)
+            state.candidates_by_head.pop(unit.head.vm, None)
         else:
-            known.found[place.head.vm] = candidate
-            known.recheck_s = min(known.recheck_s, candidate.fresh_until_s)
+            state.candidates_by_head[unit.head.vm] = candidate
+            state.recheck_at_s = min(state.recheck_at_s, candidate.fresh_until_s)
 
-    def _candidate(self, service: rules.Service, place: _Place, now_s: float) -> Candidate | None:
-        if place.group is not None and not self._is_whole(place.group, service, now_s):
+    def _evaluate_unit(
+        self, service: rules.Service, unit: _ServingUnit, now_s: float
+    ) -> Candidate | None:
+        if unit.group is not None and not self._is_whole(unit.group, service, now_s):
             return None
-        if not all(self._may_work(member, now_s) for member in place.members):
+        if not all(self._may_work(member, now_s) for member in unit.members):
             return None
-        asked_at_s = min(self.view.observation(vm.vm).asked_at_s for vm in place.members)
-        report = self.view.observation(place.head.vm).report
-        return Candidate(place.head, report, place.group, asked_at_s + view.FRESH_S)
+        asked_at_s = min(self.view.observation(vm.vm).asked_at_s for vm in unit.members)
+        report = self.view.observation(unit.head.vm).report
+        return Candidate(unit.head, report, unit.group, asked_at_s + view.FRESH_S)
 
     def _is_whole(self, group: plan.Group, service: rules.Service, now_s: float) -> bool:
-        # The plan says who should serve, an order that was sent says nothing: only the members'
-        # own fresh and equal reports show that the group exists. Without this a group that lost a
-        # member, or that an old planner's order took apart, would get requests it cannot serve.
+        # Neither the plan nor an order that was sent proves that a group exists; only fresh and
+        # matching reports of all members do. Otherwise a group that lost a member, or that an
+        # outdated planner's order split, would get requests that it cannot serve.
         if self.view.is_ended(*group.place):
             return False
         for member in group.members:
@@ -233,4 +243,4 @@
         zones_out = self.configuration.current.zones_out
         if vm.availability_zone in zones_out or self.view.is_leaving(vm.vm):
             return False
-        return self.view.fresh_report(vm.vm, now_s) is not None and not self._is_distrusted(vm)
+        return self.view.fresh_report(vm.vm, now_s) is not None and not self._needs_new_report(vm)
--- a/toucanhold/routing/choice.py
+++ b/toucanhold/routing/choice.py
@@ -1,4 +1,4 @@
-"""Choice of a backend server among the candidates."""
+"""Policies that choose a backend server among the candidates."""
 
 import abc
 import collections.abc
@@ -6,9 +6,9 @@
 
 import attrs
 
-from toucanhold.routing import affinity, candidates, requests, room
+from toucanhold.routing import affinity, candidates, capacity, requests
 
-# How much fuller, as a part of its limit, a server with the prefix in its cache may be.
+# Extra load, as a fraction of its limit, that a server with the cached prefix may have.
 AFFINITY_ALLOWANCE = 0.25
 OTHER_ZONE_PENALTY = 0.05
 
@@ -22,15 +22,15 @@
         request: requests.CallerRequest,
         options: collections.abc.Sequence[candidates.Candidate],
     ) -> candidates.Candidate | None:
-        """Return one of ``options``, or None where none has room."""
+        """Return one of ``options``, or None if none has free capacity."""
 
 
 @attrs.define(eq=False)
 class RoundRobin(ChoicePolicy):
-    """The baseline: each candidate with room in turn."""
+    """The baseline: round robin over the candidates with free capacity."""
 
-    room: room.RoomPolicy
-    _turn: int = 0
+    capacity: capacity.CapacityPolicy
+    _next_index: int = 0
 
     def choose(
         self,
@@ -38,20 +38,20 @@
         options: collections.abc.Sequence[candidates.Candidate],
     ) -> candidates.Candidate | None:
         """See :class:`ChoicePolicy`."""
-        ordered = sorted(options, key=lambda option: option.vm.vm)
+        ordered = sorted(options, key=lambda candidate: candidate.vm.vm)
         for offset in range(len(ordered)):
-            option = ordered[(self._turn + offset) % len(ordered)]
-            if self.room.load(request.service, option) < 1:
-                self._turn += offset + 1
-                return option
+            candidate = ordered[(self._next_index + offset) % len(ordered)]
+            if self.capacity.load(request.service, candidate) < 1:
+                self._next_index += offset + 1
+                return candidate
         return None
 
 
 @attrs.define(eq=False)
 class LeastLoaded(ChoicePolicy):
-    """The less loaded of two candidates drawn at random, from all that have room."""
+    """Takes the less loaded of two random candidates with free capacity."""
 
-    room: room.RoomPolicy
+    capacity: capacity.CapacityPolicy
     rng: random.Random
 
     def choose(
@@ -61,23 +61,25 @@
     ) -> candidates.Candidate | None:
         """See :class:`ChoicePolicy`."""
         service = request.service
-        roomy = [each for each in options if self.room.load(service, each) < 1]
-        if not roomy:
+        with_capacity = [each for each in options if self.capacity.load(service, each) < 1]
+        if not with_capacity:
             return None
-        # Entries that all chose the least loaded by the same lagging reports would rush upon one
-        # server; two random draws spread them.
-        drawn = self.rng.sample(roomy, min(2, len(roomy)))
-        return min(drawn, key=lambda each: self.room.load(service, each))
+        # With the same lagging reports, all entries would choose the same least loaded server;
+        # two random draws spread them.
+        drawn = self.rng.sample(with_capacity, min(2, len(with_capacity)))
+        return min(drawn, key=lambda each: self.capacity.load(service, each))
 
 
 @attrs.define(eq=False)
 class TwoChoices(ChoicePolicy):
-    """Two random draws, unless a server with the prompt's prefix is hardly fuller.
+    """Power of two choices, with prefix affinity and a preference for the caller's zone.
 
-    :ivar availability_zone: where this entry runs
+    The server with the prompt's prefix in its cache is preferred unless it is much more loaded.
+
+    :ivar availability_zone: the zone of this entry, for requests that name none
     """
 
-    room: room.RoomPolicy
+    capacity: capacity.CapacityPolicy
     rng: random.Random
     availability_zone: str = ""
     _prefixes: affinity.PrefixMap = attrs.field(factory=affinity.PrefixMap, init=False)
@@ -92,13 +94,15 @@
             return None
         drawn, load = self._better_of_two(request, options)
         if request.prefix and isinstance(options, candidates.CandidateSet):
-            # Bounded, as a popular prefix would otherwise pile all its requests on one server.
-            known = self._prefixes.preferred(request.service.name, request.prefix, options)
-            if self._load(request, known) < min(1.0, load + AFFINITY_ALLOWANCE):
-                return known
+            # Without a bound, all requests with a popular prefix would go to one server.
+            preferred = self._prefixes.preferred_candidate(
+                request.service.name, request.prefix, options
+            )
+            if self._load(request, preferred) < min(1.0, load + AFFINITY_ALLOWANCE):
+                return preferred
         if self._load(request, drawn) < 1:
             return drawn
-        return self._any_with_room(request, options)
+        return self._any_with_capacity(request, options)
 
     def _better_of_two(
         self,
@@ -115,13 +119,13 @@
                 best, best_load = each, load
         return best, best_load
 
-    def _any_with_room(
+    def _any_with_capacity(
         self,
         request: requests.CallerRequest,
         options: collections.abc.Sequence[candidates.Candidate],
     ) -> candidates.Candidate | None:
-        roomy = [each for each in options if self._load(request, each) < 1]
-        return self.rng.choice(roomy) if roomy else None
+        with_capacity = [each for each in options if self._load(request, each) < 1]
+        return self.rng.choice(with_capacity) if with_capacity else None
 
-    def _load(self, request: requests.CallerRequest, option: candidates.Candidate) -> float:
-        return self.room.load(request.service, option)
+    def _load(self, request: requests.CallerRequest, candidate: candidates.Candidate) -> float:
+        return self.capacity.load(request.service, candidate)
--- a/toucanhold/routing/cold.py
+++ b/toucanhold/routing/cold.py
@@ -1,4 +1,4 @@
-"""What this entry may send to cold backend servers."""
+"""Limits the requests that this entry sends to cold backend servers."""
 
 import abc
 import zlib
@@ -10,7 +10,8 @@
 from toucanhold.observing import view
 from toucanhold.routing import slots
 
-# Engines report load with a lag: a report counts as the truth of this much before it was asked for.
+# Engines report their load with a lag: a report may describe the state this long before it was
+# requested.
 REPORT_LAG_S = 2.0
 
 
@@ -19,55 +20,58 @@
 
     @abc.abstractmethod
     def share(self, vm: str, boot_id: str, bearable: int) -> int:
-        """Return how many requests this entry may have on a cold boot of ``vm`` now."""
+        """Return how many requests this entry may have in flight on a cold boot of ``vm`` now.
+
+        :param bearable: number of requests that the cold server can run at once, for all entries
+        """
 
     @abc.abstractmethod
-    def note_unclean_end(self, vm: str, boot_id: str) -> None:
-        """Note that a request ended here but perhaps still runs there."""
+    def record_unfinished_end(self, vm: str, boot_id: str) -> None:
+        """Record that a request ended on this entry but may still run on the backend server."""
 
 
 @attrs.define(eq=False)
-class WholeLimit(ColdPolicy):
-    """The baseline: each entry believes that the whole limit is its own."""
+class UnsharedLimit(ColdPolicy):
+    """The baseline: each entry uses the whole limit, regardless of other entries."""
 
     def share(self, vm: str, boot_id: str, bearable: int) -> int:
         """See :class:`ColdPolicy`."""
         return bearable
 
-    def note_unclean_end(self, vm: str, boot_id: str) -> None:
+    def record_unfinished_end(self, vm: str, boot_id: str) -> None:
         """See :class:`ColdPolicy`."""
 
 
 @attrs.define
-class _Boot:
-    """What reports told of one boot.
-
-    :ivar asked_at_s: when its latest report was asked for
-    :ivar after_s: a report asked for then came from an earlier boot
-    :ivar idle_at_s: a report asked for then told that nothing runs
-    :ivar bearable: smallest limit that it reported
-    :ivar unclean_at_s: ends of requests that perhaps still run
+class _BootState:
+    """The state of one boot of a backend server, from its reports; times are monotonic.
+
+    :ivar asked_at_s: when its latest report was requested
+    :ivar previous_boot_seen_s: when the last report of the previous boot was requested
+    :ivar idle_seen_s: when the latest report without running or waiting requests was requested
+    :ivar bearable: smallest limit that it reported, in requests; None if it reported none
+    :ivar unfinished_at_s: when requests ended on this entry that may still run on the server
     """
 
     boot_id: str
     asked_at_s: float
-    after_s: float = float("-inf")
-    idle_at_s: float = float("-inf")
+    previous_boot_seen_s: float = float("-inf")
+    idle_seen_s: float = float("-inf")
     bearable: int | None = None
-    unclean_at_s: list[float] = attrs.field(factory=list)
+    unfinished_at_s: list[float] = attrs.field(factory=list)
 
 
 @attrs.define(eq=False)
 class SlotShares(ColdPolicy):
-    """Divides the limit of a cold boot among slots, of which each entry holds some."""
+    """Divides the limit of a cold boot among slots, each owned by one entry."""
 
     ownership: slots.SlotOwnership
     view: view.View
-    _boots: dict[str, _Boot] = attrs.field(factory=dict, init=False)
+    _boots: dict[str, _BootState] = attrs.field(factory=dict, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Follow the reports."""
-        self.view.subscribe(self._take_in)
+        """Subscribe to the reports."""
+        self.view.subscribe(self._on_report)
 
     def share(self, vm: str, boot_id: str, bearable: int) -> int:
         """See :class:`ColdPolicy`."""
@@ -76,29 +80,33 @@
             return 0
         if boot.bearable is not None:
             bearable = min(bearable, boot.bearable)
-        first = zlib.crc32(f"{vm}\0{boot_id}".encode())
+        first_slot = zlib.crc32(f"{vm}\0{boot_id}".encode())
         usable = sum(
-            self._is_usable((first + unit) % slots.SLOTS, boot) for unit in range(bearable)
+            self._is_usable((first_slot + offset) % slots.SLOT_COUNT, boot)
+            for offset in range(bearable)
         )
-        return max(0, usable - len(boot.unclean_at_s))
+        return max(0, usable - len(boot.unfinished_at_s))
 
-    def note_unclean_end(self, vm: str, boot_id: str) -> None:
+    def record_unfinished_end(self, vm: str, boot_id: str) -> None:
         """See :class:`ColdPolicy`."""
-        # A caller who left, a deadline or a cut connection frees the place here at once, while
-        # the engine may go on for some time: a second request would be one too many.
+        # A caller that disconnects, a deadline or a broken connection ends the request here at
+        # once, while the engine may run it for some time: another one would exceed the limit.
         boot = self._boots.get(vm)
         if boot is not None and boot.boot_id == boot_id:
-            boot.unclean_at_s.append(trio.current_time())
+            boot.unfinished_at_s.append(trio.current_time())
 
-    def _is_usable(self, slot: int, boot: _Boot) -> bool:
+    def _is_usable(self, slot: int, boot: _BootState) -> bool:
         acquired_at_s = self.ownership.acquired_at_s(slot)
         if acquired_at_s is None:
             return False
-        # The slot's last holder may have died or been paused with requests running. They are over
-        # once the server was idle after the change of hands, or has booted since.
-        return boot.idle_at_s >= acquired_at_s + REPORT_LAG_S or boot.after_s >= acquired_at_s
+        # The slot's previous owner may have died or been paused with requests running. They have
+        # ended once the server was idle after the slot changed owners, or has restarted since.
+        return (
+            boot.idle_seen_s >= acquired_at_s + REPORT_LAG_S
+            or boot.previous_boot_seen_s >= acquired_at_s
+        )
 
-    def _take_in(self, vm: str) -> None:
+    def _on_report(self, vm: str) -> None:
         observation = self.view.observation(vm)
         if observation is None:
             self._boots.pop(vm, None)
@@ -106,20 +114,22 @@
         report, asked_at_s = observation.report, observation.asked_at_s
         boot = self._boots.get(vm)
         if boot is None:
-            boot = self._boots[vm] = _Boot(report.boot_id, asked_at_s)
+            boot = self._boots[vm] = _BootState(report.boot_id, asked_at_s)
         elif boot.boot_id != report.boot_id:
-            boot = self._boots[vm] = _Boot(report.boot_id, asked_at_s, boot.asked_at_s)
-        _update(boot, report, asked_at_s)
+            boot = self._boots[vm] = _BootState(report.boot_id, asked_at_s, boot.asked_at_s)
+        _update_boot(boot, report, asked_at_s)
 
 
-def _update(boot: _Boot, report: client.Report, asked_at_s: float) -> None:
+def _update_boot(boot: _BootState, report: client.Report, asked_at_s: float) -> None:
     boot.asked_at_s = asked_at_s
     if report.bearable is not None:
-        # A limit that goes up and down is seen by entries at different times; the smallest is safe.
-        known = report.bearable if boot.bearable is None else boot.bearable
-        boot.bearable = min(known, report.bearable)
+        # Entries see a varying limit at different times; only the smallest is safe.
+        smallest = report.bearable if boot.bearable is None else boot.bearable
+        boot.bearable = min(smallest, report.bearable)
     if not report.running and not report.waiting:
-        boot.idle_at_s = asked_at_s
-        boot.unclean_at_s = [
-            ended_at_s for ended_at_s in boot.unclean_at_s if ended_at_s + REPORT_LAG_S > asked_at_s
+        boot.idle_seen_s = asked_at_s
+        boot.unfinished_at_s = [
+            ended_at_s
+            for ended_at_s in boot.unfinished_at_s
+            if ended_at_s + REPORT_LAG_S > asked_at_s
         ]
--- a/toucanhold/routing/dispatch.py
+++ b/toucanhold/routing/dispatch.py
@@ -1,4 +1,4 @@
-"""Serves one request: place it, send it, pass its answer on, try again where that is safe."""
+"""Serves a request: places it, sends it, forwards its answer and retries where that is safe."""
 
 import collections.abc
 import contextlib
@@ -10,10 +10,10 @@
 from toucanhold import events
 from toucanhold.backends import client
 from toucanhold.routing import (
+    admission,
     attempts,
     budget,
     candidates,
-    gate,
     relay,
     requests,
     resuming,
@@ -29,7 +29,8 @@
 class Answer:
     """An answer for the caller.
 
-    :ivar chunks: its body; raises :class:`requests.RequestError` when it breaks off
+    :ivar status: HTTP status
+    :ivar chunks: the body; raises :class:`requests.RequestError` if it cannot be completed
     """
 
     status: int
@@ -39,100 +40,105 @@
 
 @attrs.define(eq=False)
 class Dispatcher:
-    """Serves requests of all kinds."""
+    """Serves requests, with retries.
 
-    admission: gate.AdmissionPolicy
+    :ivar retry_budget: limits the retries of all requests together
+    """
+
+    admission: admission.AdmissionPolicy
     finder: candidates.CandidateFinder
     backends: client.BackendClient
     watchdog: watchdog.Watchdog
-    retries: budget.RetryBudget = attrs.field(factory=budget.RetryBudget)
+    retry_budget: budget.RetryBudget = attrs.field(factory=budget.RetryBudget)
 
     @contextlib.asynccontextmanager
     async def serve(self, request: requests.CallerRequest) -> collections.abc.AsyncIterator[Answer]:
-        """Give the answer to a request; leaving the context cancels it.
+        """Provide the answer to a request; leaving the context cancels the request.
 
         :raises requests.RequestError: when no backend server answered
         """
-        passing = relay.Relay()
+        response_relay = relay.Relay()
         failure: Exception | None = None
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._run, request, passing)
+            nursery.start_soon(self._run, request, response_relay)
             try:
-                await passing.wait_head()
-                yield Answer(passing.status, passing.headers, passing.chunks())
+                await response_relay.wait_head()
+                yield Answer(response_relay.status, response_relay.headers, response_relay.chunks())
             except Exception as error:
-                # Raised in here, the nursery would wrap it in a group.
+                # Raised inside the nursery, it would be wrapped in an exception group.
                 failure = error
             nursery.cancel_scope.cancel()
         if failure is not None:
             raise failure
 
-    async def _run(self, request: requests.CallerRequest, passing: relay.Relay) -> None:
-        """Serve until the answer is whole, has failed for good, or its time is over."""
+    async def _run(self, request: requests.CallerRequest, response_relay: relay.Relay) -> None:
+        """Serve until the answer is complete, has finally failed or the deadline has passed."""
         position = resuming.StreamPosition()
         error: requests.RequestError | None = None
-        sent = False
+        may_have_been_sent = False
         with trio.move_on_at(request.deadline_s) as scope:
-            attempt = attempts.Attempt(self, request, passing, position)
+            attempt = attempts.AttemptRunner(self, request, response_relay, position)
             try:
-                error = await self._try_until_done(attempt)
+                error = await self._run_attempts(attempt)
             finally:
-                sent = attempt.was_sent
+                may_have_been_sent = attempt.may_have_been_sent
         if scope.cancelled_caught:
-            error = _too_late(request, sent)
-        passing.end(error)
+            error = _deadline_error(request, may_have_been_sent)
+        response_relay.end(error)
 
-    async def _try_until_done(self, attempt: attempts.Attempt) -> requests.RequestError | None:
-        self.retries.note_request()
-        unclear: requests.RequestError | None = None
-        for number in range(1, MAX_ATTEMPTS + 1):
+    async def _run_attempts(self, attempt: attempts.AttemptRunner) -> requests.RequestError | None:
+        self.retry_budget.record_request()
+        earlier_error: requests.RequestError | None = None
+        for attempt_number in range(1, MAX_ATTEMPTS + 1):
             try:
                 await attempt.run()
                 return None
             except requests.RequestError as error:
-                return _truthful(error, unclear)
+                return _error_for_all_attempts(error, earlier_error)
             except attempts.RetryableError as failure:
-                reason = self._why_not_again(attempt.request, failure, number)
+                reason = self._retry_denied_reason(attempt.request, failure, attempt_number)
                 events.log(
                     LOGGER,
                     events.Event.REQUEST_RETRIED if not reason else events.Event.RETRY_DENIED,
                     request_id=attempt.request.request_id,
                     vm=failure.vm,
-                    attempt=number,
+                    attempt=attempt_number,
                     reason=reason or failure.error.detail,
                 )
                 if reason:
-                    return _truthful(failure.error, unclear)
+                    return _error_for_all_attempts(failure.error, earlier_error)
                 if failure.error.outcome is not requests.Outcome.DID_NOT_RUN:
-                    unclear = failure.error
+                    earlier_error = failure.error
         raise AssertionError("unreachable")
 
-    def _why_not_again(
-        self, request: requests.CallerRequest, failure: attempts.RetryableError, number: int
+    def _retry_denied_reason(
+        self, request: requests.CallerRequest, failure: attempts.RetryableError, attempt_number: int
     ) -> str:
-        if number == MAX_ATTEMPTS:
+        if attempt_number == MAX_ATTEMPTS:
             return "too many attempts"
-        least_s = self.admission.expected_duration_s(request) / 2
-        if not failure.has_begun and trio.current_time() + least_s >= request.deadline_s:
+        min_duration_s = self.admission.expected_duration_s(request) / 2
+        if not failure.has_begun and trio.current_time() + min_duration_s >= request.deadline_s:
             return "another attempt cannot meet the deadline"
-        if not self.retries.take():
+        if not self.retry_budget.try_spend():
             return "the retry budget is empty"
         return ""
 
 
-def _truthful(
-    last: requests.RequestError, unclear: requests.RequestError | None
+def _error_for_all_attempts(
+    last: requests.RequestError, earlier_error: requests.RequestError | None
 ) -> requests.RequestError:
-    # A second attempt that did not run says nothing about the first, which perhaps did.
-    if unclear is not None and last.outcome is requests.Outcome.DID_NOT_RUN:
-        return unclear
+    # A later attempt that did not run does not prove that an earlier one did not either.
+    if earlier_error is not None and last.outcome is requests.Outcome.DID_NOT_RUN:
+        return earlier_error
     return last
 
 
-def _too_late(request: requests.CallerRequest, sent: bool) -> requests.RequestError:
-    # Once a byte has left, nobody here knows whether the backend server ran the request.
-    outcome = requests.Outcome.UNKNOWN if sent else requests.Outcome.DID_NOT_RUN
+def _deadline_error(
+    request: requests.CallerRequest, may_have_been_sent: bool
+) -> requests.RequestError:
+    # Once a byte was sent, this entry cannot know whether the backend server ran the request.
+    outcome = requests.Outcome.UNKNOWN if may_have_been_sent else requests.Outcome.DID_NOT_RUN
     problem = requests.Problem.DEADLINE
-    if sent and not request.may_repeat:
+    if may_have_been_sent and not request.may_repeat:
         problem = requests.Problem.OUTCOME_UNKNOWN
     return requests.RequestError(problem, outcome, "the deadline has passed")
--- a/toucanhold/routing/fairness.py
+++ b/toucanhold/routing/fairness.py
@@ -1,4 +1,4 @@
-"""Fair order among workspaces: start-time fair queueing with weights."""
+"""Weighted start-time fair queueing among workspaces."""
 
 import collections
 import heapq
@@ -12,11 +12,11 @@
 
 
 @attrs.define(eq=False)
-class _Workspace(typing.Generic[Item]):
-    """The waiting items of one workspace.
+class _WorkspaceQueue(typing.Generic[Item]):
+    """The queued items of one workspace.
 
     :ivar start_tag: virtual time at which its next item may start
-    :ivar is_ready: whether it stands in the heap
+    :ivar is_ready: whether the workspace is in the heap
     """
 
     name: str
@@ -28,109 +28,110 @@
 
 @attrs.define(eq=False)
 class FairOrder(typing.Generic[Item]):
-    """Items by workspace; each operation takes O(log n) in the number of workspaces."""
+    """A queue of items per workspace; push and pop take O(log n) in the number of workspaces."""
 
-    _workspaces: dict[str, _Workspace[Item]] = attrs.field(factory=dict)
-    _heap: list[tuple[float, int, _Workspace[Item]]] = attrs.field(factory=list)
+    _workspaces: dict[str, _WorkspaceQueue[Item]] = attrs.field(factory=dict)
+    _heap: list[tuple[float, int, _WorkspaceQueue[Item]]] = attrs.field(factory=list)
     _virtual_time: float = 0.0
     _sequence: int = 0
     _count: int = 0
 
     def __len__(self) -> int:
-        """Return the number of items."""
+        """Return the number of queued items."""
         return self._count
 
     def waiting(self, workspace: str) -> int:
-        """Return the number of items of one workspace."""
-        known = self._workspaces.get(workspace)
-        return len(known.items) if known else 0
+        """Return the number of queued items of one workspace."""
+        queue = self._workspaces.get(workspace)
+        return len(queue.items) if queue else 0
 
     def charge(self, workspace: str, weight: float) -> None:
-        """Count an item that started without waiting."""
-        known = self._workspace(workspace, weight)
-        start = max(known.start_tag, self._virtual_time)
+        """Charge a workspace for an item that started without being queued."""
+        queue = self._get_or_create(workspace, weight)
+        start = max(queue.start_tag, self._virtual_time)
         self._virtual_time = start
-        known.start_tag = start + 1 / weight
+        queue.start_tag = start + 1 / weight
 
     def push(self, workspace: str, weight: float, item: Item) -> None:
-        """Add an item."""
-        known = self._workspace(workspace, weight)
-        if not known.items:
-            # Time spent without waiting items earns no credit: a workspace that came back from a
-            # pause would otherwise hold up all others until it had caught up.
-            known.start_tag = max(known.start_tag, self._virtual_time)
-        known.items.append(item)
+        """Append an item to a workspace's queue."""
+        queue = self._get_or_create(workspace, weight)
+        if not queue.items:
+            # An idle workspace earns no credit: after a pause it would otherwise block all others
+            # until it had caught up.
+            queue.start_tag = max(queue.start_tag, self._virtual_time)
+        queue.items.append(item)
         self._count += 1
-        self._make_ready(known)
+        self._enqueue_ready(queue)
 
     def pop(self) -> tuple[str, Item] | None:
-        """Return the next item in fair order with its workspace.
+        """Return the next item in fair order with its workspace; None if no workspace is ready.
 
-        The workspace takes part again after :meth:`make_ready`.
+        The workspace is not considered again before :meth:`mark_ready`.
         """
         while self._heap:
-            _, _, known = heapq.heappop(self._heap)
-            known.is_ready = False
-            if not known.items:
+            _, _, queue = heapq.heappop(self._heap)
+            queue.is_ready = False
+            if not queue.items:
                 continue
-            item = known.items.popleft()
+            item = queue.items.popleft()
             self._count -= 1
-            self._virtual_time = max(self._virtual_time, known.start_tag)
-            known.start_tag = self._virtual_time + 1 / known.weight
-            return known.name, item
+            self._virtual_time = max(self._virtual_time, queue.start_tag)
+            queue.start_tag = self._virtual_time + 1 / queue.weight
+            return queue.name, item
         return None
 
-    def put_back(self, workspace: str, item: Item) -> None:
-        """Return an item that could not start, in front and without charge."""
-        known = self._workspaces[workspace]
-        known.start_tag -= 1 / known.weight
-        known.items.appendleft(item)
+    def push_front(self, workspace: str, item: Item) -> None:
+        """Put an item that could not start back at the front and refund its charge."""
+        queue = self._workspaces[workspace]
+        queue.start_tag -= 1 / queue.weight
+        queue.items.appendleft(item)
         self._count += 1
 
-    def make_ready(self, workspace: str) -> None:
-        """Let a workspace take part again."""
-        known = self._workspaces.get(workspace)
-        if known is not None:
-            self._make_ready(known)
+    def mark_ready(self, workspace: str) -> None:
+        """Consider a workspace again."""
+        queue = self._workspaces.get(workspace)
+        if queue is not None:
+            self._enqueue_ready(queue)
 
     def remove(self, workspace: str, item: Item) -> None:
-        """Drop an item that need not start any more."""
-        known = self._workspaces[workspace]
-        known.items.remove(item)
+        """Remove a queued item."""
+        queue = self._workspaces[workspace]
+        queue.items.remove(item)
         self._count -= 1
 
-    def longest(self) -> str:
-        """Return the workspace with the most items by weight."""
+    def most_backlogged(self) -> str:
+        """Return the workspace with the most queued items relative to its weight."""
         return max(
-            self._workspaces.values(), key=lambda known: len(known.items) / known.weight
+            self._workspaces.values(), key=lambda queue: len(queue.items) / queue.weight
         ).name
 
     def newest(self, workspace: str) -> Item:
-        """Return the last item of a workspace."""
+        """Return the item of a workspace that was queued last."""
         return self._workspaces[workspace].items[-1]
 
-    def active_weight(self, workspace: str, weight: float) -> float:
-        """Return the sum of the weights of workspaces that wait, ``workspace`` among them."""
+    def backlogged_weight(self, workspace: str, weight: float) -> float:
+        """Return the total weight of ``workspace`` and all workspaces with queued items."""
         others = (each for each in self._workspaces.values() if each.name != workspace)
-        return weight + sum(known.weight for known in others if known.items)
+        return weight + sum(queue.weight for queue in others if queue.items)
 
-    def _workspace(self, name: str, weight: float) -> _Workspace[Item]:
-        known = self._workspaces.get(name)
-        if known is None:
+    def _get_or_create(self, name: str, weight: float) -> _WorkspaceQueue[Item]:
+        queue = self._workspaces.get(name)
+        if queue is None:
             if len(self._workspaces) >= MAX_IDLE_WORKSPACES:
-                self._forget_idle()
-            known = self._workspaces[name] = _Workspace(name)
-        known.weight = weight
-        return known
-
-    def _forget_idle(self) -> None:
-        # Callers choose the names. One that is forgotten gains one turn at most.
-        self._workspaces = {name: known for name, known in self._workspaces.items() if known.items}
+                self._evict_idle()
+            queue = self._workspaces[name] = _WorkspaceQueue(name)
+        queue.weight = weight
+        return queue
+
+    def _evict_idle(self) -> None:
+        # Callers choose the names, so their number is bounded. An evicted workspace
+        # gains at most one turn.
+        self._workspaces = {name: queue for name, queue in self._workspaces.items() if queue.items}
         self._heap = [entry for entry in self._heap if entry[2].items]
         heapq.heapify(self._heap)
 
-    def _make_ready(self, known: _Workspace[Item]) -> None:
-        if known.items and not known.is_ready:
-            known.is_ready = True
+    def _enqueue_ready(self, queue: _WorkspaceQueue[Item]) -> None:
+        if queue.items and not queue.is_ready:
+            queue.is_ready = True
             self._sequence += 1
-            heapq.heappush(self._heap, (known.start_tag, self._sequence, known))
+            heapq.heappush(self._heap, (queue.start_tag, self._sequence, queue))
--- a/toucanhold/routing/fairqueue.py
+++ b/toucanhold/routing/fairqueue.py
@@ -1,4 +1,4 @@
-"""Admission in fair shares, with queues that know each request's deadline."""
+"""Admits requests in fair shares among workspaces, with queues that respect deadlines."""
 
 import collections
 import contextlib
@@ -10,26 +10,26 @@
 from toucanhold.configuration import holder, rules
 from toucanhold.observing import view
 from toucanhold.routing import (
+    admission,
     candidates,
+    capacity,
     choice,
     cold,
     fairness,
-    gate,
     rates,
     requests,
-    room,
 )
 
 MAX_WAITING = 256
-MAX_WAIT_S = 2.0
-LONGEST_WAIT_S = 3.0
+MAX_EXPECTED_WAIT_S = 2.0
+MAX_ACTUAL_WAIT_S = 3.0
 DEFAULT_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 60.0
 
 
 @attrs.define(eq=False)
 class _Waiter:
-    """A request that waits; either ``chosen`` or ``refusal`` is set before ``decided``."""
+    """A queued request; either ``chosen`` or ``refusal`` is set before ``decided``."""
 
     request: requests.CallerRequest
     decided: trio.Event = attrs.field(factory=trio.Event)
@@ -39,69 +39,71 @@
 
 @attrs.define(eq=False)
 class _Queue:
-    """Waiting requests of one service and adapter."""
+    """Queued requests of one service and adapter."""
 
     service: rules.Service
     adapter: str
     order: fairness.FairOrder[_Waiter] = attrs.field(factory=fairness.FairOrder)
-    rate: rates.ServiceRate = attrs.field(factory=rates.ServiceRate)
+    rate: rates.CompletionRate = attrs.field(factory=rates.CompletionRate)
 
 
 @attrs.define(eq=False)
-class FairQueue(gate.AdmissionPolicy):
+class FairQueue(admission.AdmissionPolicy):
     """Starts requests in fair order among workspaces, the most important services first.
 
-    Nothing is looked at again at an interval: a finished request and each new report offer the one
-    backend server whose room has changed.
+    There is no polling: a finished request or a new report of a backend server dispatches queued
+    requests to that server.
 
-    :ivar max_in_flight: most requests that this entry has in flight
+    :ivar max_in_flight: largest number of requests that this entry has in flight
     """
 
     configuration: holder.ConfigurationHolder
     finder: candidates.CandidateFinder
     view: view.View
     policy: choice.ChoicePolicy
-    in_flight: room.InFlight
-    room: room.RoomPolicy
+    in_flight: capacity.InFlight
+    capacity: capacity.CapacityPolicy
     cold: cold.ColdPolicy
     max_in_flight: int = 2000
     _queues: dict[tuple[str, str], _Queue] = attrs.field(factory=dict, init=False)
-    _by_workspace: collections.Counter[str] = attrs.field(factory=collections.Counter, init=False)
+    _in_flight_by_workspace: collections.Counter[str] = attrs.field(
+        factory=collections.Counter, init=False
+    )
     _waiting: int = attrs.field(default=0, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Follow the reports."""
-        self.view.subscribe(self._offer_vm)
+        """Subscribe to the reports."""
+        self.view.subscribe(self._dispatch_to_vm)
 
     def waiting(self) -> int:
-        """Return the number of requests that wait."""
+        """Return the number of queued requests."""
         return self._waiting
 
     @contextlib.asynccontextmanager
     async def place(self, request: requests.CallerRequest, avoid: frozenset[str]):
-        """See :class:`gate.AdmissionPolicy`."""
+        """See :class:`admission.AdmissionPolicy`."""
         queue = self._queue(request)
-        if request.adapter and not len(queue.order) and not self._options(queue):
-            # Callers choose the names of adapters; a queue for each would fill the memory.
+        if request.adapter and not len(queue.order) and not self._candidates(queue):
+            # Callers choose adapter names; a queue for each unknown name would exhaust memory.
             self._queues.pop((request.service.name, request.adapter), None)
-            raise _refusal(_nobody(queue), DEFAULT_RETRY_AFTER_S)
-        chosen = self._start_now(queue, request, avoid)
+            raise _refusal_error(_no_server_detail(queue), DEFAULT_RETRY_AFTER_S)
+        chosen = self._try_start(queue, request, avoid)
         if chosen is None:
-            chosen = await self._wait(queue, request)
-        placement = gate.Placement(chosen, request, self.room)
+            chosen = await self._wait_in_queue(queue, request)
+        placement = admission.Placement(chosen, request, self.capacity)
         started_s = trio.current_time()
         try:
             yield placement
         finally:
-            if placement.finished:
+            if placement.is_finished:
                 now_s = trio.current_time()
-                queue.rate.note_finished(now_s, now_s - started_s)
+                queue.rate.record_finished(now_s, now_s - started_s)
             else:
-                self.cold.note_unclean_end(chosen.vm.vm, chosen.report.boot_id)
+                self.cold.record_unfinished_end(chosen.vm.vm, chosen.report.boot_id)
             self._release(chosen, request)
 
     def expected_duration_s(self, request: requests.CallerRequest) -> float:
-        """See :class:`gate.AdmissionPolicy`."""
+        """See :class:`admission.AdmissionPolicy`."""
         return self._queue(request).rate.duration_s
 
     def _queue(self, request: requests.CallerRequest) -> _Queue:
@@ -112,36 +114,38 @@
         queue.service = request.service
         return queue
 
-    def _start_now(
+    def _try_start(
         self, queue: _Queue, request: requests.CallerRequest, avoid: frozenset[str]
     ) -> candidates.Candidate | None:
-        options = self._options(queue)
-        if not options and not self._may_return(queue):
-            raise _refusal(_nobody(queue), DEFAULT_RETRY_AFTER_S)
-        if not options or len(queue.order) or not self._has_budget(request.workspace):
+        options = self._candidates(queue)
+        if not options and not self._may_recover(queue):
+            raise _refusal_error(_no_server_detail(queue), DEFAULT_RETRY_AFTER_S)
+        if not options or len(queue.order) or not self._has_quota(request.workspace):
             return None
         preferred = [each for each in options if each.vm.vm not in avoid] if avoid else options
         chosen = self.policy.choose(request, preferred or options)
         if chosen is not None:
             queue.order.charge(request.workspace, self._weight(request.workspace))
-            self._count(chosen, request)
+            self._record_start(chosen, request)
         return chosen
 
-    async def _wait(self, queue: _Queue, request: requests.CallerRequest) -> candidates.Candidate:
+    async def _wait_in_queue(
+        self, queue: _Queue, request: requests.CallerRequest
+    ) -> candidates.Candidate:
         now_s = trio.current_time()
         wait_s = self._expected_wait_s(queue, request.workspace, now_s)
-        # Waiting for an answer that cannot come in time would keep the caller from asking another
-        # entry, and take a place from a request that can still be served.
-        if wait_s > min(MAX_WAIT_S, request.deadline_s - now_s - queue.rate.duration_s):
-            raise _refusal(f"the queue takes {wait_s:.1f} s", wait_s)
-        self._make_space(queue, request.workspace, wait_s)
+        # Queueing a request that cannot be served in time would keep its caller from asking
+        # another entry, and take the place of a request that can still be served.
+        if wait_s > min(MAX_EXPECTED_WAIT_S, request.deadline_s - now_s - queue.rate.duration_s):
+            raise _refusal_error(f"the queue takes {wait_s:.1f} s", wait_s)
+        self._evict_if_full(queue, request.workspace, wait_s)
         waiter = _Waiter(request)
         queue.order.push(request.workspace, self._weight(request.workspace), waiter)
         self._waiting += 1
         latest_start_s = request.deadline_s - queue.rate.duration_s / 2
         if wait_s:
-            # The computed wait was wrong; the caller should not pay for it up to its deadline.
-            latest_start_s = min(latest_start_s, now_s + LONGEST_WAIT_S)
+            # The estimate may be too low; the caller should not then wait until its deadline.
+            latest_start_s = min(latest_start_s, now_s + MAX_ACTUAL_WAIT_S)
         try:
             with trio.move_on_at(latest_start_s):
                 await waiter.decided.wait()
@@ -152,7 +156,7 @@
             return waiter.chosen
         if waiter.refusal is None:
             self._withdraw(queue, waiter)
-            raise _refusal(
+            raise _refusal_error(
                 "no backend server had room in time",
                 self._expected_wait_s(queue, request.workspace, trio.current_time()),
                 requests.Problem.DEADLINE,
@@ -166,126 +170,128 @@
             queue.order.remove(waiter.request.workspace, waiter)
             self._waiting -= 1
 
-    def _make_space(self, queue: _Queue, workspace: str, wait_s: float) -> None:
+    def _evict_if_full(self, queue: _Queue, workspace: str, wait_s: float) -> None:
         if len(queue.order) < MAX_WAITING:
             return
-        longest = queue.order.longest()
-        if longest == workspace:
-            raise _refusal("the workspace fills the queue", wait_s, requests.Problem.OVERLOADED)
-        # A workspace that fills the queue must not keep the others out of it.
-        loser = queue.order.newest(longest)
-        queue.order.remove(longest, loser)
-        self._refuse(loser, "displaced by a workspace with fewer requests", wait_s)
+        most_backlogged = queue.order.most_backlogged()
+        if most_backlogged == workspace:
+            raise _refusal_error(
+                "the workspace fills the queue", wait_s, requests.Problem.OVERLOADED
+            )
+        # A workspace that fills the queue must not keep other workspaces out.
+        evicted = queue.order.newest(most_backlogged)
+        queue.order.remove(most_backlogged, evicted)
+        self._refuse(evicted, "displaced by a workspace with fewer requests", wait_s)
 
     def _refuse(self, waiter: _Waiter, detail: str, retry_after_s: float) -> None:
         self._waiting -= 1
-        waiter.refusal = _refusal(detail, retry_after_s, requests.Problem.OVERLOADED)
+        waiter.refusal = _refusal_error(detail, retry_after_s, requests.Problem.OVERLOADED)
         waiter.decided.set()
 
     def _expected_wait_s(self, queue: _Queue, workspace: str, now_s: float) -> float:
-        per_second = queue.rate.per_second(now_s)
-        if not per_second:
+        requests_per_second = queue.rate.completions_per_second(now_s)
+        if not requests_per_second:
             return 0.0
         weight = self._weight(workspace)
-        part = weight / queue.order.active_weight(workspace, weight)
-        # By its own part alone: others that come later may start earlier, so the length of the
-        # whole queue would promise too much.
-        return (queue.order.waiting(workspace) + 1) / (per_second * part)
+        share = weight / queue.order.backlogged_weight(workspace, weight)
+        # Based on this workspace's share alone: requests of others that arrive later may start
+        # earlier, so the length of the whole queue would give too short an estimate.
+        return (queue.order.waiting(workspace) + 1) / (requests_per_second * share)
 
     def _release(self, chosen: candidates.Candidate, request: requests.CallerRequest) -> None:
-        had_budget = self.in_flight.total() < self.max_in_flight
+        had_quota = self.in_flight.total() < self.max_in_flight
         self.in_flight.remove(chosen.vm.vm)
-        self._by_workspace[request.workspace] -= 1
-        if not self._by_workspace[request.workspace]:
-            del self._by_workspace[request.workspace]
+        self._in_flight_by_workspace[request.workspace] -= 1
+        if not self._in_flight_by_workspace[request.workspace]:
+            del self._in_flight_by_workspace[request.workspace]
         if not self._waiting:
             return
         for queue in self._queues.values():
-            queue.order.make_ready(request.workspace)
-        self._offer_vm(chosen.vm.vm)
-        if not had_budget:
-            self._offer_all()
+            queue.order.mark_ready(request.workspace)
+        self._dispatch_to_vm(chosen.vm.vm)
+        if not had_quota:
+            self._dispatch_to_all()
 
-    def _offer_vm(self, vm: str) -> None:
+    def _dispatch_to_vm(self, vm: str) -> None:
         if not self._waiting:
             return
         now_s = trio.current_time()
-        for queue in self._ordered_queues():
+        for queue in self._queues_by_importance():
             if len(queue.order):
-                option = self.finder.candidate_of(queue.service, vm, now_s)
-                if option is not None:
-                    self._offer(queue, option)
-                elif not self._options(queue) and not self._may_return(queue):
+                candidate = self.finder.candidate_of(queue.service, vm, now_s)
+                if candidate is not None:
+                    self._dispatch_to(queue, candidate)
+                elif not self._candidates(queue) and not self._may_recover(queue):
                     self._refuse_all(queue)
 
-    def _offer_all(self) -> None:
-        for queue in self._ordered_queues():
+    def _dispatch_to_all(self) -> None:
+        for queue in self._queues_by_importance():
             while len(queue.order) and self.in_flight.total() < self.max_in_flight:
-                options = self._options(queue)
-                if not any([self._offer(queue, option) for option in options]):
+                options = self._candidates(queue)
+                if not any([self._dispatch_to(queue, candidate) for candidate in options]):
                     break
 
-    def _ordered_queues(self) -> list[_Queue]:
+    def _queues_by_importance(self) -> list[_Queue]:
         return sorted(self._queues.values(), key=lambda queue: -queue.service.importance)
 
-    def _offer(self, queue: _Queue, option: candidates.Candidate) -> int:
-        if queue.adapter and queue.adapter not in option.report.adapters:
+    def _dispatch_to(self, queue: _Queue, candidate: candidates.Candidate) -> int:
+        if queue.adapter and queue.adapter not in candidate.report.adapters:
             return 0
         started = 0
         while self.in_flight.total() < self.max_in_flight:
-            if self.room.load(queue.service, option) >= 1:
+            if self.capacity.load(queue.service, candidate) >= 1:
                 break
-            if not self._start_next(queue, option):
+            if not self._start_next_waiter(queue, candidate):
                 break
             started += 1
         return started
 
-    def _start_next(self, queue: _Queue, option: candidates.Candidate) -> bool:
+    def _start_next_waiter(self, queue: _Queue, candidate: candidates.Candidate) -> bool:
         blocked = []
         waiter = None
         while (head := queue.order.pop()) is not None:
-            if self._has_budget(head[0]):
+            if self._has_quota(head[0]):
                 waiter = head[1]
                 break
             blocked.append(head)
         for workspace, each in reversed(blocked):
-            queue.order.put_back(workspace, each)
+            queue.order.push_front(workspace, each)
         if waiter is None:
             return False
-        queue.order.make_ready(waiter.request.workspace)
+        queue.order.mark_ready(waiter.request.workspace)
         self._waiting -= 1
-        self._count(option, waiter.request)
-        waiter.chosen = option
+        self._record_start(candidate, waiter.request)
+        waiter.chosen = candidate
         waiter.decided.set()
         return True
 
     def _refuse_all(self, queue: _Queue) -> None:
         while (head := queue.order.pop()) is not None:
-            queue.order.make_ready(head[0])
+            queue.order.mark_ready(head[0])
             self._waiting -= 1
-            head[1].refusal = _refusal(_nobody(queue), DEFAULT_RETRY_AFTER_S)
+            head[1].refusal = _refusal_error(_no_server_detail(queue), DEFAULT_RETRY_AFTER_S)
             head[1].decided.set()
 
-    def _options(self, queue: _Queue):
+    def _candidates(self, queue: _Queue):
         options = self.finder.find(queue.service, trio.current_time())
         if queue.adapter:
             return [each for each in options if queue.adapter in each.report.adapters]
         return options
 
-    def _may_return(self, queue: _Queue) -> bool:
-        # After a broken connection a server gets nothing until its next report, some tenths of a
-        # second later: a stream that broke on the last server is worth that wait.
-        return self.finder.is_held_back(queue.service, trio.current_time())
+    def _may_recover(self, queue: _Queue) -> bool:
+        # After a broken connection a server gets no requests until its next report, some tenths of
+        # a second later: resuming a stream that broke on the last server is worth that wait.
+        return self.finder.is_awaiting_report(queue.service, trio.current_time())
 
-    def _count(self, chosen: candidates.Candidate, request: requests.CallerRequest) -> None:
+    def _record_start(self, chosen: candidates.Candidate, request: requests.CallerRequest) -> None:
         self.in_flight.add(chosen.vm.vm)
-        self._by_workspace[request.workspace] += 1
+        self._in_flight_by_workspace[request.workspace] += 1
 
-    def _has_budget(self, workspace: str) -> bool:
+    def _has_quota(self, workspace: str) -> bool:
         if self.in_flight.total() >= self.max_in_flight:
             return False
         limit = self._workspace(workspace).max_in_flight
-        return not limit or self._by_workspace[workspace] < limit
+        return not limit or self._in_flight_by_workspace[workspace] < limit
 
     def _weight(self, workspace: str) -> float:
         return self._workspace(workspace).weight
@@ -294,12 +300,12 @@
         return self.configuration.current.rules.workspace(name)
 
 
-def _nobody(queue: _Queue) -> str:
+def _no_server_detail(queue: _Queue) -> str:
     wanted = f"{queue.service.name}:{queue.adapter}" if queue.adapter else queue.service.name
     return f"no backend server serves {wanted!r} now"
 
 
-def _refusal(
+def _refusal_error(
     detail: str,
     retry_after_s: float,
     problem: requests.Problem = requests.Problem.NO_CAPACITY,
--- a/toucanhold/routing/isolation.py
+++ b/toucanhold/routing/isolation.py
@@ -1,4 +1,4 @@
-"""Runs suspected requests alone."""
+"""Runs suspected requests alone on a backend server."""
 
 import collections.abc
 import contextlib
@@ -9,37 +9,37 @@
 from toucanhold.configuration import rules
 from toucanhold.observing import view
 from toucanhold.peers import exchange, messages
-from toucanhold.routing import candidates, cold, gate, requests, room, watching
+from toucanhold.routing import admission, candidates, capacity, cold, incidents, requests
 
-ISOLATION_S = 30.0
+MAX_ISOLATION_S = 30.0
 CHECK_INTERVAL_S = 0.05
 RETRY_AFTER_S = 1.0
 CONFLICT_STATUS = 409
-FIRST_SERVER_ERROR = 500
+FIRST_SERVER_ERROR_STATUS = 500
 
 
 @attrs.define(eq=False)
 class Isolations:
-    """Backend servers that are kept free for one suspect, on this entry or another."""
+    """Backend servers that this entry or a peer reserves for one suspected request each."""
 
     exchange: exchange.Exchange
     _until_s: dict[str, float] = attrs.field(factory=dict, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Subscribe to those of peers."""
-        self.exchange.subscribe(messages.IsolationNews, self._hear)
+        """Subscribe to the isolations of peers."""
+        self.exchange.subscribe(messages.IsolationNews, self._receive_isolation)
 
     def begin(self, vm: str) -> None:
-        """Keep a backend server free, here and elsewhere."""
-        self._set(vm, ISOLATION_S)
+        """Reserve a backend server on this entry and its peers."""
+        self._set(vm, MAX_ISOLATION_S)
 
     def end(self, vm: str) -> None:
-        """Give it back."""
+        """Release a reserved backend server on this entry and its peers."""
         self._set(vm, 0.0)
 
     def is_isolated(self, vm: str) -> bool:
-        """Tell whether a backend server takes no other work."""
-        # The time ends an isolation whose entry died without ending it.
+        """Tell whether a backend server is reserved for a suspected request."""
+        # The time limit ends isolations whose entry died.
         until_s = self._until_s.get(vm)
         return until_s is not None and trio.current_time() < until_s
 
@@ -47,141 +47,145 @@
         self._until_s[vm] = trio.current_time() + for_s
         self.exchange.broadcast(messages.IsolationNews(vm, for_s))
 
-    def _hear(self, peer: str, news: messages.IsolationNews) -> None:
-        self._until_s[news.vm] = trio.current_time() + min(news.for_s, ISOLATION_S)
+    def _receive_isolation(self, peer: str, message: messages.IsolationNews) -> None:
+        self._until_s[message.vm] = trio.current_time() + min(message.for_s, MAX_ISOLATION_S)
 
 
 @attrs.define(eq=False)
-class IsolatingRoom(room.RoomPolicy):
-    """Another policy, without room on isolated backend servers."""
+class IsolatingCapacity(capacity.CapacityPolicy):
+    """Wraps another policy and reports isolated backend servers as full."""
 
-    inner: room.RoomPolicy
+    inner: capacity.CapacityPolicy
     isolations: Isolations
 
-    def load(self, service: rules.Service, option: candidates.Candidate) -> float:
-        """See :class:`room.RoomPolicy`."""
-        if self.isolations.is_isolated(option.vm.vm):
+    def load(self, service: rules.Service, candidate: candidates.Candidate) -> float:
+        """See :class:`capacity.CapacityPolicy`."""
+        if self.isolations.is_isolated(candidate.vm.vm):
             return 1.0
-        return self.inner.load(service, option)
+        return self.inner.load(service, candidate)
 
-    def may_send(self, service: rules.Service, option: candidates.Candidate) -> bool:
-        """See :class:`room.RoomPolicy`."""
-        return self.inner.may_send(service, option)
+    def may_send(self, service: rules.Service, candidate: candidates.Candidate) -> bool:
+        """See :class:`capacity.CapacityPolicy`."""
+        return self.inner.may_send(service, candidate)
 
 
 @attrs.define(eq=False)
-class IsolatingAdmission(gate.AdmissionPolicy):
-    """Another policy for most requests; suspects run alone or not at all.
+class IsolatingAdmission(admission.AdmissionPolicy):
+    """Wraps another policy; suspected requests run isolated or are refused.
 
-    :ivar room: tells of room without regard to isolation
+    :ivar inner: places all other requests
+    :ivar capacity: the load of candidates, regardless of isolation
     """
 
-    inner: gate.AdmissionPolicy
+    inner: admission.AdmissionPolicy
     finder: candidates.CandidateFinder
-    in_flight: room.InFlight
-    room: room.RoomPolicy
+    in_flight: capacity.InFlight
+    capacity: capacity.CapacityPolicy
     cold: cold.ColdPolicy
-    watch: watching.SuspectWatch
+    tracker: incidents.IncidentTracker
     isolations: Isolations
-    _busy: set[str] = attrs.field(factory=set, init=False)
+    _isolating_services: set[str] = attrs.field(factory=set, init=False)
 
     def expected_duration_s(self, request: requests.CallerRequest) -> float:
-        """See :class:`gate.AdmissionPolicy`."""
+        """See :class:`admission.AdmissionPolicy`."""
         return self.inner.expected_duration_s(request)
 
     @contextlib.asynccontextmanager
     async def place(self, request: requests.CallerRequest, avoid: frozenset[str]):
-        """See :class:`gate.AdmissionPolicy`."""
-        run = self.watch.run_of(request)
-        if self.watch.table.is_empty() or not await self._is_suspect(run):
+        """See :class:`admission.AdmissionPolicy`."""
+        tracked = self.tracker.tracked_request(request)
+        if self.tracker.table.is_empty() or not await self._must_isolate(tracked):
             async with self.inner.place(request, avoid) as placement:
-                with self.watch.placed(run, placement, False):
+                with self.tracker.track(tracked, placement, False):
                     yield placement
             return
         async with contextlib.AsyncExitStack() as stack:
-            placement = await stack.enter_async_context(self._alone(run, avoid))
-            alone = placement is not None
-            if not alone:
+            placement = await stack.enter_async_context(self._place_isolated(tracked, avoid))
+            is_isolated = placement is not None
+            if not is_isolated:
                 placement = await stack.enter_async_context(self.inner.place(request, avoid))
-            with self.watch.placed(run, placement, alone):
+            with self.tracker.track(tracked, placement, is_isolated):
                 yield placement
-            if placement.finished and _is_whole(run.status):
-                self.watch.table.clear(run.fingerprint)
-
-    async def _is_suspect(self, run: watching.Run) -> bool:
-        table = self.watch.table
-        if run.alone or table.may_be_condemned(run.fingerprint):
-            # Two deaths may be on its account. A third server must not pay for deciding early, nor
-            # the caller, where the server that it ran on alone is soon seen to live.
-            for incident in table.incidents(run.fingerprint):
-                with trio.move_on_at(run.request.deadline_s):
-                    await incident.judged.wait()
-        if table.is_condemned(run.fingerprint):
-            raise _refused_for_good(run)
-        if not table.is_suspect(run.fingerprint):
+            if placement.is_finished and _is_completed(tracked.status):
+                self.tracker.table.clear(tracked.fingerprint)
+
+    async def _must_isolate(self, tracked: incidents.TrackedRequest) -> bool:
+        table = self.tracker.table
+        if tracked.is_isolated or table.may_be_quarantined(tracked.fingerprint):
+            # It may have caused two failures. Deciding before the verdicts are in could crash a
+            # third server, or refuse a request whose isolated server turns out to be alive.
+            for incident in table.incidents(tracked.fingerprint):
+                with trio.move_on_at(tracked.request.deadline_s):
+                    await incident.settled.wait()
+        if table.is_quarantined(tracked.fingerprint):
+            raise _refused_for_good_error(tracked)
+        if not table.is_suspect(tracked.fingerprint):
             return False
-        if run.alone:
-            raise _lost_twice()
+        if tracked.is_isolated:
+            raise _lost_twice_error()
         return True
 
     @contextlib.asynccontextmanager
-    async def _alone(self, run: watching.Run, avoid: frozenset[str]):
-        """Hold a backend server that nothing else runs on; None if that is no longer needed."""
-        chosen = await self._isolate(run, avoid)
+    async def _place_isolated(self, tracked: incidents.TrackedRequest, avoid: frozenset[str]):
+        """Reserve an idle backend server; yields None if isolation is no longer needed."""
+        chosen = await self._wait_for_isolation(tracked, avoid)
         if chosen is None:
             yield None
             return
         vm = chosen.vm.vm
-        placement = gate.Placement(chosen, run.request, self.room)
+        placement = admission.Placement(chosen, tracked.request, self.capacity)
         self.in_flight.add(vm)
         try:
             yield placement
         finally:
             self.in_flight.remove(vm)
-            self._end(run, vm)
-            if not placement.finished:
-                self.cold.note_unclean_end(vm, chosen.report.boot_id)
+            self._finish_isolation(tracked, vm)
+            if not placement.is_finished:
+                self.cold.record_unfinished_end(vm, chosen.report.boot_id)
 
-    async def _isolate(
-        self, run: watching.Run, avoid: frozenset[str]
+    async def _wait_for_isolation(
+        self, tracked: incidents.TrackedRequest, avoid: frozenset[str]
     ) -> candidates.Candidate | None:
-        service = run.request.service
-        await self._wait_turn(run)
-        vm, since_s, free = "", 0.0, None
+        service = tracked.request.service
+        await self._acquire_turn(tracked)
+        vm, since_s, isolated_candidate = "", 0.0, None
         try:
-            while trio.current_time() < run.request.deadline_s:
-                # While it waits, another entry may lose the same request.
-                if not await self._is_suspect(run):
+            while trio.current_time() < tracked.request.deadline_s:
+                # Meanwhile another entry may lose the same request.
+                if not await self._must_isolate(tracked):
                     return None
                 options = self.finder.find(service, trio.current_time())
                 if not options:
-                    # Nothing to keep free, and nothing to run on: the inner policy refuses at once.
+                    # There is no server to isolate; the inner policy refuses the request at once.
                     return None
-                option = next((each for each in options if each.vm.vm == vm), None)
-                if option is not None and self._is_free(service, option, since_s):
-                    free = option
-                    return free
-                if option is None or not self.isolations.is_isolated(vm):
-                    # Gone, or not idle in all that time: long streams may run there.
+                candidate = next((each for each in options if each.vm.vm == vm), None)
+                if candidate is not None and self._is_idle(service, candidate, since_s):
+                    isolated_candidate = candidate
+                    return isolated_candidate
+                if candidate is None or not self.isolations.is_isolated(vm):
+                    # The server is gone, or long streams kept it busy for the whole isolation.
                     self._end_isolation(vm)
-                    vm, since_s = self._begin(service, options, avoid), trio.current_time()
+                    vm, since_s = (
+                        self._begin_isolation(service, options, avoid),
+                        trio.current_time(),
+                    )
                 await trio.sleep(CHECK_INTERVAL_S)
-            raise _no_room()
+            raise _no_capacity_error()
         finally:
-            if free is None:
-                self._end(run, vm)
-
-    async def _wait_turn(self, run: watching.Run) -> None:
-        # One at a time: with a server kept free for each of twenty innocents that were in flight
-        # with one that crashed, nothing would be left for all others.
-        name = run.request.service.name
-        while name in self._busy:
-            if trio.current_time() >= run.request.deadline_s:
-                raise _no_room()
+            if isolated_candidate is None:
+                self._finish_isolation(tracked, vm)
+
+    async def _acquire_turn(self, tracked: incidents.TrackedRequest) -> None:
+        # One at a time per service: if twenty unrelated requests were in flight on a crashed
+        # server, reserving a server for each would leave none for all other requests.
+        name = tracked.request.service.name
+        while name in self._isolating_services:
+            if trio.current_time() >= tracked.request.deadline_s:
+                raise _no_capacity_error()
             await trio.sleep(CHECK_INTERVAL_S)
-        self._busy.add(name)
+        self._isolating_services.add(name)
 
-    def _begin(
+    def _begin_isolation(
         self,
         service: rules.Service,
         options: collections.abc.Sequence[candidates.Candidate],
@@ -191,52 +195,54 @@
         usable = [each for each in usable if each.vm.vm not in avoid] or usable
         if not usable:
             return ""
-        chosen = min(usable, key=lambda each: self.room.load(service, each)).vm.vm
+        chosen = min(usable, key=lambda each: self.capacity.load(service, each)).vm.vm
         self.isolations.begin(chosen)
         return chosen
 
-    def _end(self, run: watching.Run, vm: str) -> None:
-        self._busy.discard(run.request.service.name)
+    def _finish_isolation(self, tracked: incidents.TrackedRequest, vm: str) -> None:
+        self._isolating_services.discard(tracked.request.service.name)
         self._end_isolation(vm)
 
     def _end_isolation(self, vm: str) -> None:
         if vm:
             self.isolations.end(vm)
 
-    def _is_free(
-        self, service: rules.Service, option: candidates.Candidate, since_s: float
+    def _is_idle(
+        self, service: rules.Service, candidate: candidates.Candidate, since_s: float
     ) -> bool:
-        if self.in_flight.count(option.vm.vm) or self.room.load(service, option) >= 1:
+        if self.in_flight.count(candidate.vm.vm) or self.capacity.load(service, candidate) >= 1:
             return False
-        # A report from before the isolation does not tell of what was sent there since.
-        told_since = option.fresh_until_s - view.FRESH_S > since_s
-        return told_since and not option.report.running and not option.report.waiting
+        # A report from before the isolation does not include requests that were sent since.
+        is_report_current = candidate.fresh_until_s - view.FRESH_S > since_s
+        return is_report_current and not candidate.report.running and not candidate.report.waiting
 
 
-def _is_whole(status: int | None) -> bool:
-    return status is not None and status != CONFLICT_STATUS and status < FIRST_SERVER_ERROR
+def _is_completed(status: int | None) -> bool:
+    return status is not None and status != CONFLICT_STATUS and status < FIRST_SERVER_ERROR_STATUS
 
 
-def _refused_for_good(run: watching.Run) -> requests.RequestError:
-    outcome = requests.Outcome.UNKNOWN if run.losses else requests.Outcome.DID_NOT_RUN
+def _refused_for_good_error(tracked: incidents.TrackedRequest) -> requests.RequestError:
+    outcome = requests.Outcome.UNKNOWN if tracked.loss_count else requests.Outcome.DID_NOT_RUN
     return requests.RequestError(
-        requests.Problem.REFUSED_FOR_GOOD, outcome, "backend servers died each time it ran"
+        requests.Problem.REFUSED_FOR_GOOD,
+        outcome,
+        "backend servers failed each time the request ran",
     )
 
 
-def _lost_twice() -> requests.RequestError:
+def _lost_twice_error() -> requests.RequestError:
     return requests.RequestError(
         requests.Problem.BACKEND_FAILED,
         requests.Outcome.UNKNOWN,
-        "it was lost twice, once while it ran alone",
+        "the request was lost twice, once while it ran isolated",
         RETRY_AFTER_S,
     )
 
 
-def _no_room() -> requests.RequestError:
+def _no_capacity_error() -> requests.RequestError:
     return requests.RequestError(
         requests.Problem.NO_CAPACITY,
         requests.Outcome.DID_NOT_RUN,
-        "no backend server could be kept free before the deadline",
+        "no backend server became idle for an isolated run before the deadline",
         RETRY_AFTER_S,
     )
--- a/toucanhold/routing/requests.py
+++ b/toucanhold/routing/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request inside the system, and the typed errors that answer it."""
+"""Callers' requests and the typed errors that answer them."""
 
 import enum
 
@@ -9,7 +9,7 @@
 
 
 class Outcome(enum.Enum):
-    """Whether a request ran: a statement of fact to its caller."""
+    """Whether a request ran, as reported to its caller; must never be a guess."""
 
     DID_NOT_RUN = "did-not-run"
     RAN = "ran"
@@ -17,7 +17,11 @@
 
 
 class Problem(enum.Enum):
-    """Kinds of refusal and failure; docs/CALLERS.md lists them. HTTP status and title."""
+    """Kinds of refusal and failure, each with HTTP status and title; see docs/CALLERS.md.
+
+    :ivar status: HTTP status
+    :ivar title: the problem's title in the answer
+    """
 
     MALFORMED = (400, "The request is malformed")
     UNKNOWN_SERVICE = (404, "No such service")
@@ -45,17 +49,18 @@
 
     @property
     def slug(self) -> str:
-        """The last part of the problem's type URI."""
+        """The last segment of the problem's type URI."""
         return self.name.lower().replace("_", "-")
 
 
 class RequestError(Exception):
-    """The final answer to a request that got none from a backend server.
+    """The final error of a request that no backend server answered.
 
-    :ivar problem: what went wrong
+    :ivar problem: kind of the error
     :ivar outcome: whether the request ran
-    :ivar retry_after_s: when coming back helps; None where it does not
-    :ivar entry_address: the entry to send it to; empty for any
+    :ivar detail: the reason, for the caller
+    :ivar retry_after_s: seconds after which the caller may retry; None if a retry cannot help
+    :ivar entry_address: address of the entry to send the request to; empty for any
     """
 
     def __init__(
@@ -76,15 +81,15 @@
 
 @attrs.frozen
 class CallerRequest:
-    """A request as the callers' interface understood it.
+    """A request as parsed by the callers' interface.
 
-    :ivar path: the path to ask the backend server for
-    :ivar deadline_s: monotonic time after which the answer is of no use to the caller
+    :ivar path: the path of the request to the backend server
+    :ivar deadline_s: monotonic time after which the caller does not need the answer
     :ivar may_repeat: whether the request is idempotent
     :ivar stream: whether the answer is a stream of server-sent events
-    :ivar adapter: the adapter that it needs; empty for none
-    :ivar availability_zone: the caller's, where it said so
-    :ivar prefix: hash of the leading part of its prompt; 0 for none
+    :ivar adapter: name of the required adapter; empty for none
+    :ivar availability_zone: the caller's zone; empty if unknown
+    :ivar prefix: hash from :func:`affinity.prefix_key`; 0 for none
     """
 
     request_id: str
--- a/toucanhold/routing/router.py
+++ b/toucanhold/routing/router.py
@@ -1,4 +1,4 @@
-"""An entry's routing: its components, built to fit each other."""
+"""Builds the routing components of an entry."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 from toucanhold.peers import exchange
 from toucanhold.plans import plan
 from toucanhold.routing import (
+    admission,
     candidates,
+    capacity,
     choice,
     cold,
-    deaths,
     dispatch,
+    failures,
     fairqueue,
-    gate,
+    incidents,
     isolation,
-    room,
     slots,
     suspects,
     watchdog,
-    watching,
 )
 
 
 @attrs.frozen
 class RouterDependencies:
-    """What routing rests on.
+    """The components and settings that routing depends on.
 
     :ivar entry: this entry's name
-    :ivar availability_zone: where this entry runs
-    :ivar entries: returns the names of all entries that serve
-    :ivar max_in_flight: most requests that this entry has in flight
-    :ivar may_start: whether this entry's configuration is late enough for new work
+    :ivar availability_zone: this entry's zone
+    :ivar entries: returns the names of all serving entries
+    :ivar max_in_flight: largest number of requests that this entry has in flight
+    :ivar may_start: returns whether this entry's configuration is recent enough for new work
     """
 
     entry: str
@@ -58,42 +58,45 @@
 
 @attrs.frozen
 class Router:
-    """The components of routing."""
+    """The routing components of one entry.
+
+    :ivar tracker: None if lost requests are not tracked
+    """
 
     slots: slots.LeasedSlots
-    in_flight: room.InFlight
+    in_flight: capacity.InFlight
     finder: candidates.CandidateFinder
     cold: cold.ColdPolicy
-    room: room.RoomPolicy
+    capacity: capacity.CapacityPolicy
     choice: choice.ChoicePolicy
-    admission: gate.AdmissionPolicy
+    admission: admission.AdmissionPolicy
     dispatcher: dispatch.Dispatcher
-    watch: watching.SuspectWatch | None = None
+    tracker: incidents.IncidentTracker | None = None
 
     async def run(self) -> None:
-        """Do the background work until cancelled."""
+        """Run the background tasks until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.slots.run)
             nursery.start_soon(self.dispatcher.watchdog.run)
-            if self.watch is not None:
-                nursery.start_soon(self.watch.run)
+            if self.tracker is not None:
+                nursery.start_soon(self.tracker.run)
 
     async def release(self) -> None:
-        """Give back what this entry holds; nothing may be in flight any more."""
+        """Release this entry's slots; no request may be in flight any more."""
         await self.slots.release()
 
 
 def build_default(dependencies: RouterDependencies) -> Router:
-    """Return routing with the chosen policies."""
+    """Return a router with the default policies."""
     leased = _leased_slots(dependencies)
-    in_flight = room.InFlight()
+    in_flight = capacity.InFlight()
     finder = _finder(dependencies)
     shares = cold.SlotShares(leased, dependencies.view)
-    limits = room.EstimatedRoom(
+    capacity_policy = capacity.EstimatedCapacity(
         in_flight, shares, dependencies.view, lambda: len(dependencies.entries())
     )
     isolations = isolation.Isolations(dependencies.exchange)
-    usable = isolation.IsolatingRoom(limits, isolations)
+    usable = isolation.IsolatingCapacity(capacity_policy, isolations)
     policy = choice.TwoChoices(usable, dependencies.rng, dependencies.availability_zone)
     queue = fairqueue.FairQueue(
         dependencies.configuration,
@@ -105,37 +108,48 @@
         shares,
         dependencies.max_in_flight,
     )
-    watch = watching.SuspectWatch(
+    tracker = incidents.IncidentTracker(
         suspects.SuspectTable(dependencies.exchange),
-        deaths.DeathWatch(dependencies.view, dependencies.plans),
+        failures.FailureDetector(dependencies.view, dependencies.plans),
         dependencies.view,
         in_flight,
     )
-    admission = isolation.IsolatingAdmission(
-        queue, finder, in_flight, limits, shares, watch, isolations
+    admission_policy = isolation.IsolatingAdmission(
+        queue, finder, in_flight, capacity_policy, shares, tracker, isolations
     )
     dispatcher = dispatch.Dispatcher(
-        admission,
+        admission_policy,
         finder,
-        watching.WatchingBackends(dependencies.backends, watch),
+        incidents.TrackingBackends(dependencies.backends, tracker),
         watchdog.Watchdog(dependencies.view),
     )
-    return Router(leased, in_flight, finder, shares, usable, policy, queue, dispatcher, watch)
+    return Router(leased, in_flight, finder, shares, usable, policy, queue, dispatcher, tracker)
 
 
 def build_baseline(dependencies: RouterDependencies) -> Router:
-    """Return routing with the baseline of each policy, for measurements side by side."""
+    """Return a router with the baseline policies, for comparison measurements."""
     leased = _leased_slots(dependencies)
-    in_flight = room.InFlight()
+    in_flight = capacity.InFlight()
     finder = _finder(dependencies)
-    whole = cold.WholeLimit()
-    limits = room.ReportedRoom(in_flight, whole)
-    policy = choice.RoundRobin(limits)
-    admission = gate.PlainQueue(finder, policy, in_flight, limits, whole)
+    unshared_limit = cold.UnsharedLimit()
+    capacity_policy = capacity.ReportedCapacity(in_flight, unshared_limit)
+    policy = choice.RoundRobin(capacity_policy)
+    admission_policy = admission.FirstComeQueue(
+        finder, policy, in_flight, capacity_policy, unshared_limit
+    )
     dispatcher = dispatch.Dispatcher(
-        admission, finder, dependencies.backends, watchdog.Watchdog(dependencies.view)
+        admission_policy, finder, dependencies.backends, watchdog.Watchdog(dependencies.view)
+    )
+    return Router(
+        leased,
+        in_flight,
+        finder,
+        unshared_limit,
+        capacity_policy,
+        policy,
+        admission_policy,
+        dispatcher,
     )
-    return Router(leased, in_flight, finder, whole, limits, policy, admission, dispatcher)
 
 
 def _leased_slots(dependencies: RouterDependencies) -> slots.LeasedSlots:
--- a/toucanhold/routing/sse.py
+++ b/toucanhold/routing/sse.py
@@ -1,4 +1,4 @@
-"""Framing of server-sent events."""
+"""Splits a byte stream into server-sent events."""
 
 import collections.abc
 
@@ -9,14 +9,14 @@
 
 
 class FramingError(Exception):
-    """A stream that is not server-sent events, or an event beyond the limit."""
+    """An event exceeds ``EVENT_LIMIT_BYTES``, or the stream is not server-sent events."""
 
 
 @attrs.frozen
 class ServerSentEvent:
-    """One whole event.
+    """One complete event.
 
-    :ivar raw: its bytes with the blank line that ends it
+    :ivar raw: its bytes, including the blank line that ends it
     :ivar event_id: the ``id`` field; empty without one
     :ivar data: the ``data`` fields, joined by newlines
     """
@@ -33,19 +33,19 @@
 
 @attrs.define
 class EventSplitter:
-    """Cuts a stream of bytes into whole events; a torn last one stays behind."""
+    """Splits a stream of bytes into complete events and buffers an incomplete one."""
 
     _buffer: bytearray = attrs.field(factory=bytearray)
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether the bytes so far end within an event."""
+        """Whether an incomplete event is buffered."""
         return bool(self._buffer)
 
     def feed(self, chunk: bytes) -> collections.abc.Iterator[ServerSentEvent]:
         """Yield the events that ``chunk`` completes.
 
-        :raises FramingError: when an event exceeds its limit
+        :raises FramingError: when an incomplete event exceeds ``EVENT_LIMIT_BYTES``
         """
         self._buffer += chunk
         while True:
@@ -56,7 +56,7 @@
             del self._buffer[: end + length]
             yield _parse(raw)
         if len(self._buffer) > EVENT_LIMIT_BYTES:
-            raise FramingError("an event exceeds its limit")
+            raise FramingError(f"an event exceeds {EVENT_LIMIT_BYTES} bytes")
 
 
 def _event_end(buffer: bytearray) -> tuple[int, int]:
--- a/toucanhold/routing/suspects.py
+++ b/toucanhold/routing/suspects.py
@@ -1,4 +1,4 @@
-"""Requests that crash backend servers: what is known of them on this entry and its peers."""
+"""Shares with peers which requests are suspected of crashing backend servers."""
 
 import enum
 import hashlib
@@ -11,15 +11,15 @@
 from toucanhold.peers import exchange, messages
 from toucanhold.routing import requests
 
-MAX_REQUESTS = 1000
-KEPT_S = 6 * 3600.0
-WHOLE_WEIGHT = 1.0
+MAX_SUSPECTS = 1000
+RETENTION_S = 6 * 3600.0
+FULL_WEIGHT = 1.0
 
 LOGGER = logging.getLogger(__name__)
 
 
 class Verdict(enum.Enum):
-    """Whether a backend server died with a request in flight."""
+    """Whether a backend server failed with a request in flight."""
 
     PENDING = "pending"
     DIED = "died"
@@ -28,58 +28,62 @@
 
 @attrs.define(eq=False)
 class Incident:
-    """A connection to a backend server was lost with the request in flight.
+    """The loss of a connection to a backend server with a request in flight.
 
-    :ivar company: requests that ran there at that time, as far as one entry knew
-    :ivar alone: whether the backend server was kept free for it
+    :ivar concurrent_requests: number of requests that ran there, as known to the reporting entry
+    :ivar is_isolated: whether the request ran alone on an isolated backend server
+    :ivar settled: set once the verdict is final
     """
 
     vm: str
     boot_id: str
-    company: int
-    alone: bool
+    concurrent_requests: int
+    is_isolated: bool
     verdict: Verdict = Verdict.PENDING
-    judged: trio.Event = attrs.field(factory=trio.Event)
+    settled: trio.Event = attrs.field(factory=trio.Event)
 
-    def judge(self, verdict: Verdict) -> None:
-        """Settle the verdict; a death that was seen is never taken back."""
+    def set_verdict(self, verdict: Verdict) -> None:
+        """Set the verdict; ``DIED`` is never revoked."""
         if self.verdict is not Verdict.DIED:
             self.verdict = verdict
-        self.judged.set()
+        self.settled.set()
 
 
 @attrs.define(eq=False)
 class _Suspect:
     incidents: dict[tuple[str, str], Incident] = attrs.field(factory=dict)
-    seen_at_s: float = attrs.field(factory=trio.current_time)
+    last_seen_at_s: float = attrs.field(factory=trio.current_time)
 
 
 @attrs.define(eq=False)
 class SuspectTable:
-    """Suspected and condemned requests by fingerprint; bounded, and ageing."""
+    """Suspected and quarantined requests by fingerprint.
+
+    Holds at most ``MAX_SUSPECTS``; entries expire ``RETENTION_S`` after their last use.
+    """
 
     exchange: exchange.Exchange
     _suspects: dict[bytes, _Suspect] = attrs.field(factory=dict, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Subscribe to what peers know."""
-        self.exchange.subscribe(messages.IncidentNews, self._hear)
-        self.exchange.subscribe(messages.ClearedNews, self._hear_cleared)
-        self.exchange.subscribe_connected(self._tell_all)
+        """Subscribe to the incidents of peers."""
+        self.exchange.subscribe(messages.IncidentNews, self._receive_incident)
+        self.exchange.subscribe(messages.ClearedNews, self._receive_cleared)
+        self.exchange.subscribe_connected(self._send_all)
 
     def is_suspect(self, fingerprint: bytes) -> bool:
-        """Tell whether a request must run alone."""
+        """Tell whether a request must run isolated."""
         return any(
             incident.verdict is not Verdict.DISMISSED for incident in self.incidents(fingerprint)
         )
 
-    def is_condemned(self, fingerprint: bytes) -> bool:
-        """Tell whether a request is refused for good."""
-        return self._is_guilty(self.incidents(fingerprint), Verdict.DIED)
+    def is_quarantined(self, fingerprint: bytes) -> bool:
+        """Tell whether a request is refused permanently."""
+        return self._exceeds_threshold(self.incidents(fingerprint), Verdict.DIED)
 
-    def may_be_condemned(self, fingerprint: bytes) -> bool:
-        """Tell whether verdicts that are still out decide on a request."""
-        return self._is_guilty(self.incidents(fingerprint), Verdict.DIED, Verdict.PENDING)
+    def may_be_quarantined(self, fingerprint: bytes) -> bool:
+        """Tell whether a request is quarantined if all pending verdicts become ``DIED``."""
+        return self._exceeds_threshold(self.incidents(fingerprint), Verdict.DIED, Verdict.PENDING)
 
     def incidents(self, fingerprint: bytes) -> list[Incident]:
         """Return all incidents of a request."""
@@ -87,40 +91,43 @@
         return [] if suspect is None else list(suspect.incidents.values())
 
     def is_empty(self) -> bool:
-        """Tell whether nothing is suspected."""
+        """Tell whether no request is suspected."""
         return not self._suspects
 
-    def add(self, fingerprint: bytes, boot: tuple[str, str], company: int, alone: bool) -> Incident:
-        """Note an incident and tell the peers.
+    def add(
+        self, fingerprint: bytes, boot: tuple[str, str], concurrent_requests: int, is_isolated: bool
+    ) -> Incident:
+        """Record an incident and notify the peers.
 
         :param boot: VM and boot id of the backend server
+        :param concurrent_requests: number of requests that ran there, including this one
         """
-        incident = self._note(fingerprint, boot, company, alone)
+        incident = self._record_incident(fingerprint, boot, concurrent_requests, is_isolated)
         events.log(
             LOGGER,
             events.Event.REQUEST_SUSPECTED,
             fingerprint=fingerprint.hex(),
             vm=incident.vm,
             boot_id=incident.boot_id,
-            company=incident.company,
-            alone=incident.alone,
+            company=incident.concurrent_requests,
+            alone=incident.is_isolated,
         )
-        self.exchange.broadcast(_news(fingerprint, incident))
+        self.exchange.broadcast(_incident_message(fingerprint, incident))
         return incident
 
-    def judge(self, fingerprint: bytes, incident: Incident, verdict: Verdict) -> None:
-        """Settle an incident and tell the peers."""
-        was_condemned = self.is_condemned(fingerprint)
-        incident.judge(verdict)
-        self.exchange.broadcast(_news(fingerprint, incident))
-        if self.is_condemned(fingerprint) and not was_condemned:
+    def set_verdict(self, fingerprint: bytes, incident: Incident, verdict: Verdict) -> None:
+        """Set the verdict of an incident and notify the peers."""
+        was_quarantined = self.is_quarantined(fingerprint)
+        incident.set_verdict(verdict)
+        self.exchange.broadcast(_incident_message(fingerprint, incident))
+        if self.is_quarantined(fingerprint) and not was_quarantined:
             vms = sorted(each.vm for each in self.incidents(fingerprint))
             events.log(
                 LOGGER, events.Event.REQUEST_CONDEMNED, fingerprint=fingerprint.hex(), vms=vms
             )
 
     def clear(self, fingerprint: bytes) -> None:
-        """Forget a request that ran whole, and tell the peers."""
+        """Remove a request that ran to completion and notify the peers."""
         if self._suspects.pop(fingerprint, None) is not None:
             events.log(LOGGER, events.Event.REQUEST_CLEARED, fingerprint=fingerprint.hex())
             self.exchange.broadcast(messages.ClearedNews(fingerprint))
@@ -130,68 +137,74 @@
         if suspect is None:
             return None
         now_s = trio.current_time()
-        if now_s - suspect.seen_at_s > KEPT_S:
+        if now_s - suspect.last_seen_at_s > RETENTION_S:
             del self._suspects[fingerprint]
             return None
-        # A caller who goes on sending it keeps it on the list.
-        suspect.seen_at_s = now_s
+        # A request that callers keep sending does not expire.
+        suspect.last_seen_at_s = now_s
         return suspect
 
-    def _is_guilty(self, incidents: list[Incident], *verdicts: Verdict) -> bool:
-        # One death may be chance, and in company it says little. Two, one of them alone, leave
-        # only the request itself as what they have in common.
+    def _exceeds_threshold(self, incidents: list[Incident], *verdicts: Verdict) -> bool:
+        # One failure may be a coincidence, and with concurrent requests it is weak evidence. Two
+        # failures, one of them isolated, have only the request itself in common.
         weights = [self._weight(each) for each in incidents if each.verdict in verdicts]
-        return bool(weights) and max(weights) >= WHOLE_WEIGHT and sum(weights) > WHOLE_WEIGHT
+        return bool(weights) and max(weights) >= FULL_WEIGHT and sum(weights) > FULL_WEIGHT
 
     def _weight(self, incident: Incident) -> float:
-        if incident.alone:
-            return WHOLE_WEIGHT
-        # Another entry's requests there are known only by what it tells.
+        if incident.is_isolated:
+            return FULL_WEIGHT
+        # Requests of other entries on that server are known only from their incidents.
         boot = (incident.vm, incident.boot_id)
-        told = sum(boot in suspect.incidents for suspect in self._suspects.values())
-        return WHOLE_WEIGHT / max(1, incident.company, told)
+        reported = sum(boot in suspect.incidents for suspect in self._suspects.values())
+        return FULL_WEIGHT / max(1, incident.concurrent_requests, reported)
 
-    def _note(
-        self, fingerprint: bytes, boot: tuple[str, str], company: int, alone: bool
+    def _record_incident(
+        self, fingerprint: bytes, boot: tuple[str, str], concurrent_requests: int, is_isolated: bool
     ) -> Incident:
         suspect = self._find(fingerprint)
         if suspect is None:
-            self._make_room()
+            self._evict_if_full()
             suspect = self._suspects[fingerprint] = _Suspect()
-        incident = suspect.incidents.setdefault(boot, Incident(*boot, company, alone))
-        incident.company = max(incident.company, company)
-        incident.alone = incident.alone or alone
+        incident = suspect.incidents.setdefault(
+            boot, Incident(*boot, concurrent_requests, is_isolated)
+        )
+        incident.concurrent_requests = max(incident.concurrent_requests, concurrent_requests)
+        incident.is_isolated = incident.is_isolated or is_isolated
         return incident
 
-    def _make_room(self) -> None:
-        if len(self._suspects) < MAX_REQUESTS:
+    def _evict_if_full(self) -> None:
+        if len(self._suspects) < MAX_SUSPECTS:
             return
-        # Condemned ones go last: forgetting one costs two more servers.
+        # Evict quarantined requests last: forgetting one costs two more server crashes.
         oldest = min(
             self._suspects,
             key=lambda each: (
-                self._is_guilty(list(self._suspects[each].incidents.values()), Verdict.DIED),
-                self._suspects[each].seen_at_s,
+                self._exceeds_threshold(
+                    list(self._suspects[each].incidents.values()), Verdict.DIED
+                ),
+                self._suspects[each].last_seen_at_s,
             ),
         )
         del self._suspects[oldest]
 
-    def _hear(self, peer: str, news: messages.IncidentNews) -> None:
-        incident = self._note(news.fingerprint, (news.vm, news.boot_id), news.company, news.alone)
-        if news.verdict != Verdict.PENDING.value:
-            incident.judge(Verdict(news.verdict))
+    def _receive_incident(self, peer: str, message: messages.IncidentNews) -> None:
+        incident = self._record_incident(
+            message.fingerprint, (message.vm, message.boot_id), message.company, message.alone
+        )
+        if message.verdict != Verdict.PENDING.value:
+            incident.set_verdict(Verdict(message.verdict))
 
-    def _hear_cleared(self, peer: str, news: messages.ClearedNews) -> None:
-        self._suspects.pop(news.fingerprint, None)
+    def _receive_cleared(self, peer: str, message: messages.ClearedNews) -> None:
+        self._suspects.pop(message.fingerprint, None)
 
-    def _tell_all(self, peer: str) -> None:
+    def _send_all(self, peer: str) -> None:
         for fingerprint, suspect in self._suspects.items():
             for incident in suspect.incidents.values():
-                self.exchange.send(peer, _news(fingerprint, incident))
+                self.exchange.send(peer, _incident_message(fingerprint, incident))
 
 
 def fingerprint_of(request: requests.CallerRequest) -> bytes:
-    """Return a hash of what a request does, whoever sends it and under whatever key."""
+    """Return a hash of a request's contents, independent of its caller and idempotency key."""
     digest = hashlib.blake2b(digest_size=16)
     for part in (request.service.name, request.method, request.path):
         digest.update(part.encode() + b"\0")
@@ -199,12 +212,12 @@
     return digest.digest()
 
 
-def _news(fingerprint: bytes, incident: Incident) -> messages.IncidentNews:
+def _incident_message(fingerprint: bytes, incident: Incident) -> messages.IncidentNews:
     return messages.IncidentNews(
         fingerprint,
         incident.vm,
         incident.boot_id,
-        incident.company,
-        incident.alone,
+        incident.concurrent_requests,
+        incident.is_isolated,
         incident.verdict.value,
     )
--- a/toucanhold/routing/watchdog.py
+++ b/toucanhold/routing/watchdog.py
@@ -1,4 +1,4 @@
-"""Ends attempts whose backend server has gone, restarted, left its group or stalled."""
+"""Ends attempts whose backend server is silent, restarted, left its group or stalled."""
 
 import attrs
 import trio
@@ -12,10 +12,10 @@
 
 @attrs.define(eq=False)
 class WatchedAttempt:
-    """An attempt that may be ended so that another one takes over.
+    """An attempt that may be cancelled and followed by another one.
 
-    :ivar last_event_s: time of the last event; infinite before the first
-    :ivar reason: why it was ended; empty while it goes on
+    :ivar last_event_s: monotonic time of the last event; infinite while no event is due
+    :ivar reason: why the attempt was ended; empty while it runs
     """
 
     candidate: candidates.Candidate
@@ -26,18 +26,18 @@
 
 @attrs.define(eq=False)
 class Watchdog:
-    """Looks after all attempts of idempotent requests with one task."""
+    """Monitors all attempts of idempotent requests in one task."""
 
     view: view.View
     stall_timeout_s: float = STALL_TIMEOUT_S
     _attempts: set[WatchedAttempt] = attrs.field(factory=set)
 
     def add(self, attempt: WatchedAttempt) -> None:
-        """Watch an attempt."""
+        """Start watching an attempt."""
         self._attempts.add(attempt)
 
     def remove(self, attempt: WatchedAttempt) -> None:
-        """Watch it no longer."""
+        """Stop watching an attempt."""
         self._attempts.discard(attempt)
 
     async def run(self) -> None:
@@ -46,13 +46,13 @@
             await trio.sleep(CHECK_INTERVAL_S)
             now_s = trio.current_time()
             for attempt in self._attempts:
-                attempt.reason = attempt.reason or self._why_over(attempt, now_s)
+                attempt.reason = attempt.reason or self._end_reason(attempt, now_s)
                 if attempt.reason:
                     attempt.scope.cancel()
 
-    def _why_over(self, attempt: WatchedAttempt, now_s: float) -> str:
-        # A paused or dark backend server sends nothing, not even the end of its connection: the
-        # caller would wait for the rest of its stream until the deadline.
+    def _end_reason(self, attempt: WatchedAttempt, now_s: float) -> str:
+        # A paused or unreachable backend server does not even close its connection; without this
+        # check the caller would wait for the rest of its stream until the deadline.
         candidate = attempt.candidate
         if now_s - attempt.last_event_s > self.stall_timeout_s:
             return f"no event for {self.stall_timeout_s:.0f} s"
