--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: fair shares, deadlines, and refusals that come at once."""
+"""Tests of admission: fair shares, deadlines and immediate refusals."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 
 def rules_with(*workspaces, **fields):
-    """Return rules with one plain service and some workspaces."""
+    """Return rules with one plain service and the given workspaces."""
     plain = routers.plain_rules(**fields)
     return rules.Rules(plain.services, plain.availability_zones, workspaces)
 
@@ -32,33 +32,33 @@
         for number in range(60):
             order.push("heavy", 1.0, number)
             order.push("light", 2.0, number)
-        taken = []
+        popped = []
         for _ in range(30):
             workspace, _ = order.pop()
             order.mark_ready(workspace)
-            taken.append(workspace)
-        self.assertEqual(20, taken.count("light"))
+            popped.append(workspace)
+        self.assertEqual(20, popped.count("light"))
 
-    def test_workspace_that_waited_for_nothing_earns_no_credit(self):
-        # One workspace works alone for long; another comes. The newcomer is next, but does not
-        # hold the first up until it has caught up with all that the first has had.
+    def test_idle_workspace_earns_no_credit(self):
+        # One workspace has run alone for a long time when another sends its first request. The new
+        # one is next, but must not block the first until it has received as much service.
         order = fairness.FairOrder()
         for _ in range(100):
             order.charge("old", 1.0)
         for number in range(10):
             order.push("old", 1.0, number)
             order.push("new", 1.0, number)
-        taken = []
+        popped = []
         for _ in range(6):
             workspace, _ = order.pop()
             order.mark_ready(workspace)
-            taken.append(workspace)
-        self.assertEqual(3, taken.count("new"))
-        self.assertEqual("new", taken[0])
+            popped.append(workspace)
+        self.assertEqual(3, popped.count("new"))
+        self.assertEqual("new", popped[0])
 
-    def test_names_that_callers_make_up_are_forgotten(self):
-        # Callers name a new workspace with each request; the memory must not grow with them, and
-        # those that wait must not lose their place.
+    def test_idle_workspaces_are_evicted(self):
+        # Callers name a new workspace with each request. Memory must stay bounded, and workspaces
+        # with queued requests must keep their place.
         order = fairness.FairOrder()
         order.push("waiting", 1.0, "first")
         for number in range(5 * fairness.MAX_IDLE_WORKSPACES):
@@ -68,10 +68,10 @@
 
 
 class FairQueueTest(unittest.TestCase):
-    def test_adapters_that_nobody_serves_leave_nothing_behind(self):
-        on_test_clock(self._adapters)
+    def test_unknown_adapters_leave_no_queues_behind(self):
+        on_test_clock(self._unknown_adapters)
 
-    async def _adapters(self):
+    async def _unknown_adapters(self):
         async with routers.running([warm_server()], entries=1) as site:
             entry = site.entries["entry-0"]
             await trio.sleep(2)
@@ -81,8 +81,8 @@
             self.assertEqual({}, entry.router.admission._queues)
 
     def test_small_workspace_is_served_while_a_large_one_floods(self):
-        # 40 callers of one workspace and one of another share two places. First come, first
-        # served would give the small one a fortieth; its fair share is half of the places.
+        # 40 callers of one workspace and one of another share two slots. First come, first served
+        # would give the small workspace a fortieth; its fair share is half of the slots.
         on_test_clock(self._flood)
 
     async def _flood(self):
@@ -96,7 +96,7 @@
                 self.assertEqual("whole", await site.ask(entry, workspace="small"))
             self.assertLess(trio.current_time() - began_s, 20 * 1.1)
 
-    def test_workspace_keeps_to_its_limit_in_flight(self):
+    def test_workspace_does_not_exceed_its_limit_in_flight(self):
         on_test_clock(self._limit)
 
     async def _limit(self):
@@ -112,8 +112,9 @@
         self.assertEqual(5, server.max_running)
 
     def test_request_that_cannot_be_served_in_time_is_refused_at_once(self):
-        # Two places, half a second each, and a queue that takes seconds. A caller with one second
-        # left is told at once, and when to come back; held back, it could ask nobody else.
+        # Two slots, half a second per request, and a queue that takes seconds. A caller with one
+        # second left must be refused at once, with a time to retry; while queued, it could not
+        # ask another entry.
         on_test_clock(self._refuse)
 
     async def _refuse(self):
@@ -132,7 +133,7 @@
             self.assertTrue(0.5 < raised.exception.retry_after_s < 10)
 
     def test_deadline_that_passes_while_waiting_ends_the_wait(self):
-        # Nothing has finished yet, so no wait can be computed; the request's own time ends it.
+        # No request has finished yet, so no wait can be estimated; the deadline ends the wait.
         on_test_clock(self._deadline)
 
     async def _deadline(self):
@@ -147,10 +148,10 @@
             self.assertAlmostEqual(3, trio.current_time() - began_s, delta=0.1)
             self.assertEqual(0, entry.router.admission.waiting())
 
-    def test_caller_who_leaves_is_out_of_the_queue_at_once(self):
-        on_test_clock(self._leave)
+    def test_caller_that_disconnects_is_removed_from_the_queue_at_once(self):
+        on_test_clock(self._disconnect)
 
-    async def _leave(self):
+    async def _disconnect(self):
         server = backends.Server("vm-0", warm=True, slots=1, first_token_s=100)
         async with routers.running([server], entries=1) as site:
             entry = site.entries["entry-0"]
@@ -162,10 +163,10 @@
             self.assertEqual(1, entry.router.in_flight.total())
 
     def test_waiting_requests_are_refused_when_the_last_server_is_lost(self):
-        # All that wait get their final answer with the loss, not at their deadlines.
-        on_test_clock(self._lose)
+        # All queued requests are refused when the server is lost, not at their deadlines.
+        on_test_clock(self._lose_server)
 
-    async def _lose(self):
+    async def _lose_server(self):
         server = backends.Server("vm-0", warm=True, slots=1, first_token_s=100)
         async with routers.running([server], entries=1) as site:
             entry = site.entries["entry-0"]
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Choice of a backend server, and the estimate of its load."""
+"""Tests of the choice of a backend server and of the estimate of its load."""
 
 import collections
 import random
@@ -22,7 +22,7 @@
 
 
 def candidate_set(count, zones=("zone-a",)):
-    """Return warm candidates with eight slots each."""
+    """Return ``count`` warm candidates with eight slots each, in zones by turns."""
     options = tuple(
         candidates.Candidate(
             inventory.Vm(f"vm-{number}", "127.0.0.1:1", zones[number % len(zones)]),
@@ -34,7 +34,7 @@
 
 
 class Request:
-    """What the policy reads of a request."""
+    """The attributes of a request that the policy reads."""
 
     def __init__(self, prefix=0, availability_zone=""):
         self.service = RULES.services[0]
@@ -43,7 +43,7 @@
 
 
 def policy(in_flight, entries=1, seen=None):
-    """Return the chosen policy."""
+    """Return the default policy."""
     limits = capacity.EstimatedCapacity(
         in_flight, cold.UnsharedLimit(), seen or view.View(), lambda: entries
     )
@@ -51,18 +51,18 @@
 
 
 class TwoChoicesTest(unittest.TestCase):
-    def test_one_prefix_stays_on_one_server_until_it_is_fuller_than_others(self):
+    def test_prefix_stays_on_one_server_until_its_load_exceeds_the_others(self):
         in_flight, options = capacity.InFlight(), candidate_set(10)
         chooser = policy(in_flight)
-        first = {chooser.choose(Request(prefix=99), options).vm.vm for _ in range(50)}
-        self.assertEqual(1, len(first))
+        chosen = {chooser.choose(Request(prefix=99), options).vm.vm for _ in range(50)}
+        self.assertEqual(1, len(chosen))
         for _ in range(40):
             in_flight.add(chooser.choose(Request(prefix=99), options).vm.vm)
         counts = [in_flight.count(each.vm.vm) for each in options]
         self.assertEqual(40, sum(counts))
         self.assertLessEqual(max(counts), 8)
 
-    def test_prefixes_spread_over_servers_and_move_little_when_one_leaves(self):
+    def test_prefixes_spread_over_servers_and_stay_when_another_server_leaves(self):
         chooser, ten, nine = policy(capacity.InFlight()), candidate_set(10), candidate_set(9)
         before = {key: chooser.choose(Request(prefix=key), ten).vm.vm for key in _keys()}
         smaller = candidates.CandidateSet(nine.options, nine.by_vm, 2)
@@ -71,14 +71,14 @@
         moved = sum(before[key] != after[key] for key in before if before[key] != "vm-9")
         self.assertEqual(0, moved)
 
-    def test_all_full_gives_none(self):
+    def test_returns_none_when_all_servers_are_full(self):
         in_flight, options = capacity.InFlight(), candidate_set(3)
         for each in options:
             for _ in range(8):
                 in_flight.add(each.vm.vm)
         self.assertIsNone(policy(in_flight).choose(Request(), options))
 
-    def test_own_zone_is_preferred_between_equals(self):
+    def test_own_zone_is_preferred_at_equal_load(self):
         options = candidate_set(30, ("zone-a", "zone-b", "zone-c"))
         chooser = policy(capacity.InFlight())
         zones = collections.Counter(
@@ -92,20 +92,20 @@
         on_test_clock(self._adapter)
 
     async def _adapter(self):
-        made = [backends.Server("vm-0", warm=True), backends.Server("vm-1", warm=True)]
-        made[1].adapters = ("county",)
-        async with routers.running(made, entries=1) as site:
+        servers = [backends.Server("vm-0", warm=True), backends.Server("vm-1", warm=True)]
+        servers[1].adapters = ("county",)
+        async with routers.running(servers, entries=1) as site:
             entry = site.entries["entry-0"]
             await trio.sleep(2)
             for _ in range(20):
                 self.assertEqual("whole", await site.ask(entry, adapter="county"))
             self.assertEqual("no-capacity", await site.ask(entry, adapter="unknown"))
-        self.assertEqual(0, made[0].started)
+        self.assertEqual(0, servers[0].started)
 
 
 class EstimateTest(unittest.TestCase):
     def test_own_requests_are_not_counted_twice(self):
-        # Four of the five requests that the report tells are this entry's own and still run.
+        # Four of the five requests in the report are this entry's own and still run.
         seen, in_flight = view.View(), capacity.InFlight()
         limits = capacity.EstimatedCapacity(in_flight, cold.UnsharedLimit(), seen, lambda: 1)
         for _ in range(4):
@@ -115,13 +115,13 @@
         option = candidates.Candidate(inventory.Vm("vm-0", "a", "z"), report)
         self.assertAlmostEqual(5 / 8, limits.load(RULES.services[0], option))
 
-    def test_seven_entries_do_not_fill_eight_places_seven_times(self):
-        # All entries see the same eight free places in the same lagging report.
-        full = on_test_clock(self._most_at_once, router.build_default)
+    def test_seven_entries_do_not_fill_eight_slots_seven_times(self):
+        # All entries see the same eight free slots in the same lagging report.
+        full = on_test_clock(self._max_concurrent, router.build_default)
         self.assertLessEqual(full, 16)
-        self.assertGreaterEqual(on_test_clock(self._most_at_once, router.build_baseline), 40)
+        self.assertGreaterEqual(on_test_clock(self._max_concurrent, router.build_baseline), 40)
 
-    async def _most_at_once(self, build):
+    async def _max_concurrent(self, build):
         server = backends.Server("vm-0", warm=True, slots=100, report_lag_s=0.5, first_token_s=5)
         most = 0
         async with routers.running([server], build=build) as site:
@@ -145,7 +145,7 @@
         self.assertEqual(1, len(keys))
         self.assertNotIn(0, keys)
 
-    def test_odd_bodies_give_none(self):
+    def test_malformed_or_short_bodies_have_no_key(self):
         for body in ({}, {"messages": 3}, {"messages": [None, {"content": [1]}]}, {"prompt": "x"}):
             self.assertEqual(0, affinity.prefix_key(body))
 
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -1,4 +1,4 @@
-"""Work on cold backend servers, summed over all entries."""
+"""Tests that all entries together respect the limits of cold backend servers."""
 
 import random
 import unittest
@@ -9,7 +9,7 @@
 from standins import backends, memory, routers
 from toucanhold.routing import router, slots
 
-SETTLED_S = 15
+SETTLE_TIME_S = 15
 
 
 def on_test_clock(check, *arguments):
@@ -17,35 +17,35 @@
     return trio.run(check, *arguments, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-class ColdSumTest(unittest.TestCase):
-    def test_seven_entries_share_what_one_cold_server_bears(self):
-        # Callers flood all seven entries while the only server is cold and bears 3 requests.
-        # Each entry alone would keep to 3; the server would get 21 and fall over.
+class ColdLimitTest(unittest.TestCase):
+    def test_seven_entries_share_the_limit_of_one_cold_server(self):
+        # Callers flood all seven entries while the only server is cold and can run 3 requests.
+        # If each entry applied the limit on its own, the server would get 21 and be overloaded.
         self.assertEqual(3, on_test_clock(self._flood, router.build_default, 3))
 
     def test_baseline_overloads_a_cold_server(self):
-        # The same flood with the baseline, which shows that the check above can fail.
+        # The same load with the baseline policies, which shows that the check above can fail.
         self.assertGreater(on_test_clock(self._flood, router.build_baseline, 3), 3)
 
     async def _flood(self, build, bearable):
         server = backends.Server("vm-0", bearable=bearable, report_lag_s=0.5)
         async with routers.running([server], build=build) as site:
-            await trio.sleep(SETTLED_S)
+            await trio.sleep(SETTLE_TIME_S)
             for entry in list(site.entries.values()):
                 site.flood(entry, 5)
             await trio.sleep(20)
             self.assertGreater(site.outcomes["whole"], 50)
         return server.max_running_cold
 
-    def test_restart_without_warning_meets_no_work_meant_for_the_warm_server(self):
-        # A warm server full of work restarts and is up again at once. Reports that call it warm
-        # are up to half a second old; requests placed by them must not reach its cold successor.
+    def test_restarted_server_gets_no_requests_that_were_placed_while_it_was_warm(self):
+        # A fully loaded warm server restarts and is up again at once. Reports that show it warm are
+        # up to half a second old; requests placed by them must not reach the cold process.
         on_test_clock(self._restart)
 
     async def _restart(self):
         server = backends.Server("vm-0", bearable=2, warm=True, report_lag_s=0.5)
         async with routers.running([server]) as site:
-            await trio.sleep(SETTLED_S)
+            await trio.sleep(SETTLE_TIME_S)
             for entry in list(site.entries.values()):
                 site.flood(entry, 5, timeout_s=1)
             for _ in range(8):
@@ -56,9 +56,9 @@
                 server.warm = True
         self.assertEqual(2, server.max_running_cold)
 
-    def test_roster_change_moves_shares_without_a_moment_of_both(self):
-        # Entries join and end cleanly while the server is cold and flooded: a share that moves
-        # is unused until the server was idle after the change of hands.
+    def test_roster_change_moves_shares_without_overlap(self):
+        # Entries join and stop cleanly while the server is cold and flooded. A share that moves
+        # to another entry must not be used until the server was idle after the move.
         on_test_clock(self._roster)
 
     async def _roster(self):
@@ -69,22 +69,23 @@
                 site.flood(entry, 3, timeout_s=2)
                 await trio.sleep(10)
             for number in range(3, 8):
-                leaver = site.entries.pop(f"entry-{number}")
-                await leaver.router.release()
-                leaver.end()
+                stopping_entry = site.entries.pop(f"entry-{number}")
+                await stopping_entry.router.release()
+                stopping_entry.end()
                 await trio.sleep(10)
         self.assertLessEqual(server.max_running_cold, 4)
         self.assertGreaterEqual(server.max_running_cold, 1)
 
-    def test_entry_that_dies_leaves_requests_running(self):
-        # Entries die while their requests run on for a minute on the cold server, which does not
-        # notice. Their slots lapse and others take them: those may add nothing before it is idle.
+    def test_slots_of_a_dead_entry_are_unused_while_its_requests_run(self):
+        # Entries die while their requests continue for a minute on the cold server, which does not
+        # notice. Other entries acquire the expired slots, but must not use them before the server
+        # is idle.
         on_test_clock(self._death)
 
     async def _death(self):
         server = backends.Server("vm-0", bearable=2, first_token_s=60, unnoticed_s=100)
         async with routers.running([server]) as site:
-            await trio.sleep(SETTLED_S)
+            await trio.sleep(SETTLE_TIME_S)
             for entry in list(site.entries.values()):
                 site.flood(entry, 1, timeout_s=300)
             for number in range(5):
@@ -94,15 +95,15 @@
             self.assertGreater(server.started, 4)
         self.assertLessEqual(server.max_running_cold, 2)
 
-    def test_paused_entry_wakes_after_its_slots_went_to_others(self):
-        # An entry is paused between choosing the cold server and sending. Its slots lapse, others
-        # take and use them; when it wakes, its request must not be sent.
+    def test_paused_entry_resumes_after_others_acquired_its_slots(self):
+        # An entry is paused between choosing the cold server and sending. Its slots expire, and
+        # other entries acquire and use them; when it resumes, it must not send its request.
         on_test_clock(self._pause)
 
     async def _pause(self):
         server = backends.Server("vm-0", bearable=3)
         async with routers.running([server]) as site:
-            await trio.sleep(SETTLED_S)
+            await trio.sleep(SETTLE_TIME_S)
             for entry in list(site.entries.values()):
                 site.flood(entry, 1, timeout_s=600)
             for entry in list(site.entries.values())[:3]:
@@ -115,30 +116,31 @@
                 site.platform.set_mode("up", entry.name)
         self.assertLessEqual(server.max_running_cold, 3)
 
-    def test_caller_who_leaves_frees_the_share_only_when_the_engine_has_ended(self):
-        # Callers leave after 0.1 s and come again; the engine notices 1 s later. Counting the
-        # place as free at once would put a second request beside the first.
-        on_test_clock(self._leave)
+    def test_disconnect_frees_the_share_only_when_the_engine_has_ended(self):
+        # Callers disconnect after 0.1 s and retry; the engine notices 1 s later. Counting the slot
+        # as free at once would start a second request beside the first.
+        on_test_clock(self._disconnect)
 
-    async def _leave(self):
+    async def _disconnect(self):
         server = backends.Server("vm-0", bearable=1, first_token_s=5, unnoticed_s=1)
         async with routers.running([server]) as site:
-            await trio.sleep(SETTLED_S)
+            await trio.sleep(SETTLE_TIME_S)
             for entry in list(site.entries.values()):
                 site.flood(entry, 2, leave_after_s=0.1, timeout_s=5)
             await trio.sleep(60)
         self.assertEqual(1, server.max_running_cold)
         self.assertGreater(server.started, 3)
 
-    def test_cold_server_gets_nothing_once_slots_cannot_be_renewed(self):
-        # The key-value service is down for minutes. Nobody can tell whether another entry has
-        # taken over a slot, so cold servers get nothing after the lease; warm ones go on.
+    def test_cold_server_gets_no_requests_once_slots_cannot_be_renewed(self):
+        # The key-value service is down for minutes. Entries cannot know whether another one has
+        # acquired a slot, so cold servers get no requests after the lease expires; warm servers
+        # are not affected.
         on_test_clock(self._outage)
 
     async def _outage(self):
         cold, warm = backends.Server("vm-0"), backends.Server("vm-1", warm=True)
         async with routers.running([cold, warm]) as site:
-            await trio.sleep(SETTLED_S)
+            await trio.sleep(SETTLE_TIME_S)
             for entry in list(site.entries.values()):
                 site.flood(entry, 2)
             await trio.sleep(5)
@@ -154,31 +156,31 @@
             self.assertGreater(cold.started, started_cold)
         self.assertEqual(1, cold.max_running_cold)
 
-    def test_everything_at_once_never_exceeds_the_limit(self):
-        # Deaths, pauses, restarts, joiners, outages and callers who leave, in a seeded order.
+    def test_random_faults_never_exceed_the_limit(self):
+        # Deaths, pauses, restarts, joins, outages and disconnecting callers in a seeded order.
         for seed in range(2):
             with self.subTest(seed=seed):
-                on_test_clock(self._chaos, seed)
+                on_test_clock(self._random_faults, seed)
 
-    async def _chaos(self, seed):
+    async def _random_faults(self, seed):
         rng = random.Random(seed)
         servers = [
             backends.Server(f"vm-{n}", bearable=n + 1, report_lag_s=0.5, unnoticed_s=0.8)
             for n in range(3)
         ]
         async with routers.running(servers, seed=seed) as site:
-            await trio.sleep(SETTLED_S)
+            await trio.sleep(SETTLE_TIME_S)
             for entry in list(site.entries.values()):
                 site.flood(entry, 2, leave_after_s=rng.uniform(0.05, 3), timeout_s=5)
             for step in range(8):
-                await _misfortune(site, rng, step)
+                await _inject_fault(site, rng, step)
                 await trio.sleep(rng.uniform(0, 8))
             self.assertGreater(site.outcomes["whole"], 100)
         for server in servers:
             self.assertLessEqual(server.max_running_cold, server.bearable, server.vm)
 
 
-async def _misfortune(site, rng, step):
+async def _inject_fault(site, rng, step):
     name = rng.choice(sorted(site.entries))
     kind = rng.choice(("kill", "restart", "warm", "outage", "pause"))
     if kind == "kill":
@@ -201,13 +203,13 @@
 
 
 class SlotTest(unittest.TestCase):
-    def test_slot_that_was_let_go_is_not_used_again_before_it_was_given_up(self):
-        # An entry lets slots go to a newcomer; the deletion is lost or late, the newcomer leaves,
-        # and the slots still look its own. If it used them as they are, the late deletion would
-        # let another have them at the same time.
-        on_test_clock(self._let_go)
+    def test_released_slot_is_not_used_before_its_key_is_deleted(self):
+        # An entry releases slots to a new entry, the deletion is lost or delayed, and the new entry
+        # leaves, so that the slots still appear as owned. If the entry used them again, the late
+        # deletion would let another entry own them at the same time.
+        on_test_clock(self._release_and_reacquire)
 
-    async def _let_go(self):
+    async def _release_and_reacquire(self):
         platform = memory.MemoryPlatform()
         client, names = platform.client("a"), ["a"]
         leased = slots.LeasedSlots(client, "a", lambda: names, random.Random(1))
--- a/tests/test_cold_site.py
+++ b/tests/test_cold_site.py
@@ -1,4 +1,4 @@
-"""Cold engines behind several entries, each a process of its own."""
+"""Tests cold engines behind several entries, each in its own process."""
 
 import unittest
 
@@ -10,9 +10,10 @@
 
 
 class ColdSiteTest(unittest.TestCase):
-    def test_cold_engines_never_fall_over_under_a_flood_of_three_entries(self):
-        # Callers flood three entries while every engine is cold and bears one request. An engine
-        # that gets a second one falls over and cuts both. One engine is killed and comes back.
+    def test_cold_engines_are_not_overloaded_by_three_entries(self):
+        # Callers flood three entries while every engine is cold and can run one request. An engine
+        # that gets a second one is overloaded and breaks both connections. One engine is killed
+        # and restarted.
         trio.run(self._flood)
 
     async def _flood(self):
@@ -23,13 +24,13 @@
             body = {"document": sites.document_for(site, [service]), "expected": 0}
             await site.operate("entry-0", "PUT", "document", body)
             for each in site.entries:
-                await site.wait_status(each.entry, _all_serve)
+                await site.wait_status(each.entry, _all_are_serving)
             statuses = []
             with trio.move_on_after(12):
                 async with trio.open_nursery() as nursery:
                     for each in site.entries:
                         for _ in range(4):
-                            nursery.start_soon(_keep_asking, each.callers, statuses)
+                            nursery.start_soon(_send_repeatedly, each.callers, statuses)
                     await trio.sleep(5)
                     await site.group.kill(ENGINES[0])
                     await trio.sleep(0.5)
@@ -43,11 +44,11 @@
         self.assertGreater(statuses.count(200), 10)
 
 
-def _all_serve(status):
+def _all_are_serving(status):
     return any(each["serving"] == len(ENGINES) for each in status["services"])
 
 
-async def _keep_asking(address, statuses):
+async def _send_repeatedly(address, statuses):
     body = {"model": "drafts", "messages": [{"role": "user", "content": "A footnote."}]}
     while True:
         answer = await sites.call("POST", f"http://{address}/v1/chat/completions", body)
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Requests that crash backend servers are found out by two crashes; innocent ones are served."""
+"""Tests that a request is refused after two crashes and that unrelated requests are served."""
 
 import contextlib
 import logging
@@ -12,7 +12,7 @@
 from toucanhold.peers import exchange, messages
 from toucanhold.routing import requests, suspects
 
-SETTLED_S = 15
+SETTLE_TIME_S = 15
 CRASHER = b"crash-the-server"
 
 
@@ -32,16 +32,16 @@
 
 @contextlib.asynccontextmanager
 async def running(servers, entries):
-    """A fleet whose entries hear each other."""
+    """Run a fleet whose entries exchange messages."""
     async with routers.running(servers, entries=entries) as fleet:
         for entry in list(fleet.entries.values()):
             connect(fleet, entry)
-        await trio.sleep(SETTLED_S)
+        await trio.sleep(SETTLE_TIME_S)
         yield fleet
 
 
 def connect(fleet, entry):
-    """Connect an entry to those that are connected already."""
+    """Connect an entry to all other entries of the fleet."""
     own = entry.router.tracker.table.exchange
     for other in fleet.entries.values():
         theirs = other.router.tracker.table.exchange
@@ -63,8 +63,8 @@
     source.attach(target_name, outbox)
 
 
-async def ask(fleet, entry, body, timeout_s=30.0):
-    """Return how a request ended."""
+async def send_request(fleet, entry, body, timeout_s=30.0):
+    """Send a request and return its problem's slug and its outcome."""
     request = attrs.evolve(fleet.request(timeout_s=timeout_s), body=body)
     try:
         async with entry.router.dispatcher.serve(request) as answer:
@@ -75,26 +75,28 @@
     return "whole", "ran"
 
 
-class Innocents:
-    """Callers whose requests crash nothing."""
+class HarmlessCallers:
+    """Callers whose requests do not crash servers."""
 
     def __init__(self, fleet):
         self.fleet = fleet
-        self.ends = []
+        self.outcomes = []
 
-    async def keep_asking(self, entry, number):
+    async def send_repeatedly(self, entry, number):
         count = 0
         while True:
             count += 1
-            self.ends.append(await ask(self.fleet, entry, b"innocent %d %d" % (number, count)))
+            self.outcomes.append(
+                await send_request(self.fleet, entry, b"innocent %d %d" % (number, count))
+            )
             await trio.sleep(0.05)
 
     def start(self, callers_per_entry):
         for number, entry in enumerate(list(self.fleet.entries.values()) * callers_per_entry):
-            self.fleet.nursery.start_soon(self.keep_asking, entry, number)
+            self.fleet.nursery.start_soon(self.send_repeatedly, entry, number)
 
-    def lost(self):
-        return [end for end in self.ends if end != ("whole", "ran")]
+    def failed(self):
+        return [outcome for outcome in self.outcomes if outcome != ("whole", "ran")]
 
 
 def restarts(servers):
@@ -106,93 +108,93 @@
         logging.disable(logging.ERROR)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def test_two_crashes_in_the_fleet_however_often_it_is_sent(self):
-        # A caller sends a request that crashes each server which runs it, and sends it again at
-        # every entry, one after another. Without a memory of it each sending costs three servers.
-        on_test_clock(self._resend)
+    def test_repeated_request_crashes_only_two_servers_of_the_fleet(self):
+        # A caller sends a request that crashes every server that runs it to all entries, one after
+        # another. If entries did not remember it, each attempt would crash three servers.
+        on_test_clock(self._send_to_every_entry)
 
-    async def _resend(self):
+    async def _send_to_every_entry(self):
         servers = [new_server(number) for number in range(8)]
         async with running(servers, 3) as fleet:
-            innocents = Innocents(fleet)
-            innocents.start(3)
-            ends = []
+            harmless = HarmlessCallers(fleet)
+            harmless.start(3)
+            outcomes = []
             for _ in range(3):
                 for entry in fleet.entries.values():
-                    ends.append(await ask(fleet, entry, CRASHER))
+                    outcomes.append(await send_request(fleet, entry, CRASHER))
                     await trio.sleep(0.5)
             self.assertEqual(2, restarts(servers))
-            self.assertEqual(("refused-for-good", "unknown"), ends[0])
-            self.assertEqual({("refused-for-good", "did-not-run")}, set(ends[1:]))
+            self.assertEqual(("refused-for-good", "unknown"), outcomes[0])
+            self.assertEqual({("refused-for-good", "did-not-run")}, set(outcomes[1:]))
             await self._check_later_entry(fleet)
             await trio.sleep(30)
-            self.assertEqual([], innocents.lost())
-            self.assertGreater(len(innocents.ends), 500)
+            self.assertEqual([], harmless.failed())
+            self.assertGreater(len(harmless.outcomes), 500)
         self.assertEqual(2, restarts(servers))
 
     async def _check_later_entry(self, fleet):
         later = fleet.add_entry("entry-later")
         connect(fleet, later)
-        await trio.sleep(SETTLED_S)
-        refused = await ask(fleet, later, CRASHER)
+        await trio.sleep(SETTLE_TIME_S)
+        refused = await send_request(fleet, later, CRASHER)
         self.assertEqual(("refused-for-good", "did-not-run"), refused)
 
-    def test_sent_at_three_entries_at_once(self):
-        # All three send before any can know. Each crash is counted before anything is retried.
-        on_test_clock(self._at_once)
+    def test_request_sent_to_three_entries_at_once(self):
+        # All three entries send it before any crash. Each crash is recorded before any retry.
+        on_test_clock(self._send_at_once)
 
-    async def _at_once(self):
+    async def _send_at_once(self):
         servers = [new_server(number) for number in range(8)]
         async with running(servers, 3) as fleet:
             async with trio.open_nursery() as nursery:
                 for entry in fleet.entries.values():
-                    nursery.start_soon(ask, fleet, entry, CRASHER)
+                    nursery.start_soon(send_request, fleet, entry, CRASHER)
             self.assertLessEqual(restarts(servers), 3)
             for entry in fleet.entries.values():
-                self.assertEqual("refused-for-good", (await ask(fleet, entry, CRASHER))[0])
+                self.assertEqual("refused-for-good", (await send_request(fleet, entry, CRASHER))[0])
             self.assertLessEqual(restarts(servers), 3)
 
-    def test_innocents_in_flight_with_it_are_served_and_cleared(self):
-        on_test_clock(self._company)
+    def test_concurrent_harmless_requests_are_served_and_cleared(self):
+        on_test_clock(self._concurrent_requests)
 
-    async def _company(self):
+    async def _concurrent_requests(self):
         servers = [new_server(number) for number in range(3)]
         async with running(servers, 1) as fleet:
             (entry,) = fleet.entries.values()
-            ends = {}
+            outcomes = {}
 
             async def send(body):
-                ends[body] = await ask(fleet, entry, body)
+                outcomes[body] = await send_request(fleet, entry, body)
 
             async with trio.open_nursery() as nursery:
                 for number in range(9):
                     nursery.start_soon(send, b"innocent %d" % number)
                 await trio.sleep(0.01)
                 nursery.start_soon(send, CRASHER)
-            self.assertEqual("refused-for-good", ends.pop(CRASHER)[0])
-            self.assertEqual({("whole", "ran")}, set(ends.values()))
+            self.assertEqual("refused-for-good", outcomes.pop(CRASHER)[0])
+            self.assertEqual({("whole", "ran")}, set(outcomes.values()))
             self.assertEqual(2, restarts(servers))
             table = entry.router.tracker.table
             self.assertEqual(1, len(table._suspects))
 
-    def test_domain_that_goes_dark_condemns_nobody(self):
-        # Five of eight servers lose power at once, twice, with the same requests in flight both
-        # times. Their callers are served in the end and nobody is refused for good.
-        on_test_clock(self._dark)
+    def test_domain_failure_quarantines_no_request(self):
+        # Five of eight servers fail at once, twice, with the same requests in flight both times.
+        # All callers are eventually served and no request is refused permanently.
+        on_test_clock(self._fail_domain)
 
-    async def _dark(self):
+    async def _fail_domain(self):
         servers = [new_server(number) for number in range(8)]
         async with running(servers, 2) as fleet:
-            ends = []
+            outcomes = []
 
             async def send(entry, body):
-                # An entry retries within a budget; its callers do the rest.
+                # The entry's retry budget is limited, so callers retry as well.
                 for _ in range(5):
-                    end = await ask(fleet, entry, body)
-                    if end != ("backend-failed", "unknown"):
+                    outcome = await send_request(fleet, entry, body)
+                    if outcome != ("backend-failed", "unknown"):
                         break
                     await trio.sleep(1)
-                ends.append(end)
+                outcomes.append(outcome)
 
             for _ in range(2):
                 async with trio.open_nursery() as nursery:
@@ -203,30 +205,30 @@
                     for server in servers[:5]:
                         server.restart()
                 await trio.sleep(5)
-            self.assertEqual({("whole", "ran")}, set(ends))
+            self.assertEqual({("whole", "ran")}, set(outcomes))
             for entry in fleet.entries.values():
                 table = entry.router.tracker.table
                 self.assertFalse([each for each in table._suspects if table.is_quarantined(each)])
 
-    def test_cut_connection_of_a_living_server_is_no_death(self):
-        on_test_clock(self._cut)
+    def test_broken_connection_to_a_live_server_is_no_failure(self):
+        on_test_clock(self._break_connections)
 
-    async def _cut(self):
+    async def _break_connections(self):
         servers = [new_server(number) for number in range(2)]
         async with running(servers, 1) as fleet:
             (entry,) = fleet.entries.values()
 
-            async def cut():
+            async def break_connections():
                 for _ in range(2):
                     await trio.sleep(0.03)
                     for scope in [each for server in servers for each in server.scopes]:
                         scope.cancel()
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(cut)
-                await ask(fleet, entry, b"unlucky")
+                nursery.start_soon(break_connections)
+                await send_request(fleet, entry, b"unlucky")
             await trio.sleep(5)
-            self.assertEqual(("whole", "ran"), await ask(fleet, entry, b"unlucky"))
+            self.assertEqual(("whole", "ran"), await send_request(fleet, entry, b"unlucky"))
             self.assertEqual(0, restarts(servers))
 
 
@@ -235,7 +237,7 @@
         logging.disable(logging.ERROR)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def test_list_is_bounded_ages_and_forgets_the_condemned_last(self):
+    def test_table_is_bounded_expires_and_evicts_quarantined_requests_last(self):
         on_test_clock(self._bounds)
 
     async def _bounds(self):
@@ -251,10 +253,10 @@
         self.assertFalse(table.is_quarantined(b"bad"))
         self.assertFalse(table.is_suspect(b"1049"))
 
-    def test_deaths_in_company_alone_condemn_nobody(self):
-        on_test_clock(self._company)
+    def test_failures_with_concurrent_requests_do_not_quarantine(self):
+        on_test_clock(self._concurrent_requests)
 
-    async def _company(self):
+    async def _concurrent_requests(self):
         table = suspects.SuspectTable(exchange.Exchange())
         for number in range(5):
             for each in (b"one", b"two"):
--- a/tests/test_suspects_path.py
+++ b/tests/test_suspects_path.py
@@ -1,4 +1,4 @@
-"""A request that crashes model engines, with every process separate."""
+"""Tests a request that crashes model engines, with separate processes."""
 
 import unittest
 
@@ -13,9 +13,9 @@
 
 class CrashingRequestTest(unittest.TestCase):
     def test_it_crashes_two_engines_and_is_refused_at_every_entry(self):
-        # A caller sends a prompt that ends each engine which runs it, and sends it again at each
-        # entry. Real polls find the deaths, real peer streams spread them. Another caller's
-        # prompts are answered all the while.
+        # A caller sends a prompt that crashes every engine that runs it to each entry. Entries
+        # detect the crashes by polling and share them over peer streams. Another caller's prompts
+        # are answered throughout.
         trio.run(self._crash)
 
     async def _crash(self):
@@ -26,28 +26,28 @@
             body = {"document": document, "expected": 0}
             await site.operate("entry-0", "PUT", "document", body)
             for each in site.entries:
-                await site.wait_status(each.entry, _all_serve)
-            ends = []
+                await site.wait_status(each.entry, _all_are_serving)
+            outcomes = []
             async with trio.open_nursery() as nursery:
                 others = []
-                nursery.start_soon(self._keep_asking, site, others)
+                nursery.start_soon(self._send_repeatedly, site, others)
                 for each in site.entries * 2:
                     answer = await _chat(each.callers, CRASH_PROMPT)
-                    ends.append((answer.status, answer.json()["type"].rpartition(":")[2]))
+                    outcomes.append((answer.status, answer.json()["type"].rpartition(":")[2]))
                 nursery.cancel_scope.cancel()
             crashes = [await _crashes(vm.address) for vm in site.vms]
-        self.assertEqual({(422, "refused-for-good")}, set(ends[1:]), ends)
+        self.assertEqual({(422, "refused-for-good")}, set(outcomes[1:]), outcomes)
         self.assertEqual(2, sum(crashes), crashes)
         self.assertEqual({200}, set(others))
 
-    async def _keep_asking(self, site, statuses):
+    async def _send_repeatedly(self, site, statuses):
         while True:
             answer = await _chat(site.entries[1].callers, "Explain the revision.")
             statuses.append(answer.status)
             await trio.sleep(0.1)
 
 
-def _all_serve(status):
+def _all_are_serving(status):
     return any(each["serving"] == 4 for each in status["services"])
 
 
--- a/toucanhold/routing/admission.py
+++ b/toucanhold/routing/admission.py
@@ -76,7 +76,7 @@
         self, request: requests.CallerRequest, avoid: frozenset[str]
     ) -> candidates.Candidate:
         if self._waiting >= MAX_WAITING:
-            raise _refusal_error("the queue is full")
+            raise _refusal_error(f"the queue is full with {MAX_WAITING} requests")
         self._waiting += 1
         try:
             while trio.current_time() < request.deadline_s:
@@ -87,7 +87,7 @@
                 await trio.sleep(RECHECK_INTERVAL_S)
         finally:
             self._waiting -= 1
-        raise _refusal_error("no backend server had room before the deadline")
+        raise _refusal_error("no backend server had free capacity before the deadline")
 
     def _choose(
         self, request: requests.CallerRequest, avoid: frozenset[str]
--- a/toucanhold/routing/affinity.py
+++ b/toucanhold/routing/affinity.py
@@ -51,7 +51,10 @@
 
 @attrs.define(eq=False)
 class PrefixMap:
-    """Maps prefixes to backend servers by consistent hashing, with equal results on all entries."""
+    """Maps prefixes to backend servers by consistent hashing.
+
+    All entries agree on the server without storing or exchanging prefixes.
+    """
 
     _rings: dict[str, _HashRing] = attrs.field(factory=dict)
 
--- a/toucanhold/routing/attempts.py
+++ b/toucanhold/routing/attempts.py
@@ -173,18 +173,18 @@
                     return
             if self.response_relay.is_full():
                 watched_attempt.last_event_s = float("inf")
-                await self.response_relay.wait_space()
+                await self.response_relay.wait_for_space()
         # By its framing alone, a stream that closes cleanly without its end marker looks complete.
         raise client.AnswerLostError("the stream ended before its end marker")
 
     def _build_forwarded_request(self, placement: admission.Placement) -> client.ForwardedRequest:
-        request, chosen = self.request, placement.candidate
-        is_warm = chosen.report.warmth is client.Warmth.WARM
+        request, candidate = self.request, placement.candidate
+        is_warm = candidate.report.warmth is client.Warmth.WARM
         headers = list(request.headers)
-        if chosen.group is not None:
+        if candidate.group is not None:
             headers += [
-                (b"toucanhold-group", chosen.group.group.encode()),
-                (b"toucanhold-generation", str(chosen.group.generation).encode()),
+                (b"toucanhold-group", candidate.group.group.encode()),
+                (b"toucanhold-generation", str(candidate.group.generation).encode()),
             ]
         if self.stream_position.last_event_id is not None:
             headers.append((b"last-event-id", str(self.stream_position.last_event_id).encode()))
@@ -198,7 +198,7 @@
             request.request_id,
             max(0.001, request.deadline_s - trio.current_time()),
             fresh_connection=not request.may_repeat,
-            boot_id=chosen.report.boot_id,
+            boot_id=candidate.report.boot_id,
             warm_only=is_warm,
             guard=None if is_warm else placement.may_send,
         )
@@ -220,7 +220,7 @@
             async for _ in response.chunks:
                 return
         except client.BackendError as error:
-            LOGGER.debug("after the end marker: %s", error)
+            LOGGER.debug("the connection failed after the end marker: %s", error)
 
 
 def _forwarded_headers(headers: client.Headers) -> client.Headers:
@@ -244,16 +244,16 @@
 
 
 def _log_routed(request: requests.CallerRequest, placement: admission.Placement) -> None:
-    chosen = placement.candidate
+    candidate = placement.candidate
     fields: dict[str, typing.Any] = {
         "request_id": request.request_id,
         "workspace": request.workspace,
         "service": request.service.name,
-        "vm": chosen.vm.vm,
-        "warmth": chosen.report.warmth.value,
+        "vm": candidate.vm.vm,
+        "warmth": candidate.report.warmth.value,
     }
-    if chosen.group is not None:
-        fields |= {"group": chosen.group.group, "generation": chosen.group.generation}
+    if candidate.group is not None:
+        fields |= {"group": candidate.group.group, "generation": candidate.group.generation}
     events.log(LOGGER, events.Event.REQUEST_ROUTED, **fields)
 
 
--- a/toucanhold/routing/dispatch.py
+++ b/toucanhold/routing/dispatch.py
@@ -62,7 +62,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._run, request, response_relay)
             try:
-                await response_relay.wait_head()
+                await response_relay.wait_for_headers()
                 yield Answer(response_relay.status, response_relay.headers, response_relay.chunks())
             except Exception as error:
                 # Raised inside the nursery, it would be wrapped in an exception group.
--- a/toucanhold/routing/fairqueue.py
+++ b/toucanhold/routing/fairqueue.py
@@ -137,7 +137,9 @@
         # Queueing a request that cannot be served in time would keep its caller from asking
         # another entry, and take the place of a request that can still be served.
         if wait_s > min(MAX_EXPECTED_WAIT_S, request.deadline_s - now_s - queue.rate.duration_s):
-            raise _refusal_error(f"the queue takes {wait_s:.1f} s", wait_s)
+            raise _refusal_error(
+                f"the expected wait in the queue, {wait_s:.1f} s, is too long", wait_s
+            )
         self._evict_if_full(queue, request.workspace, wait_s)
         waiter = _Waiter(request)
         queue.order.push(request.workspace, self._weight(request.workspace), waiter)
@@ -157,7 +159,7 @@
         if waiter.refusal is None:
             self._withdraw(queue, waiter)
             raise _refusal_error(
-                "no backend server had room in time",
+                "no backend server had free capacity in time",
                 self._expected_wait_s(queue, request.workspace, trio.current_time()),
                 requests.Problem.DEADLINE,
             )
@@ -176,12 +178,16 @@
         most_backlogged = queue.order.most_backlogged()
         if most_backlogged == workspace:
             raise _refusal_error(
-                "the workspace fills the queue", wait_s, requests.Problem.OVERLOADED
+                "the queue is full, mostly with requests of this workspace",
+                wait_s,
+                requests.Problem.OVERLOADED,
             )
         # A workspace that fills the queue must not keep other workspaces out.
         evicted = queue.order.newest(most_backlogged)
         queue.order.remove(most_backlogged, evicted)
-        self._refuse(evicted, "displaced by a workspace with fewer requests", wait_s)
+        self._refuse(
+            evicted, "removed from the full queue for a workspace with fewer requests", wait_s
+        )
 
     def _refuse(self, waiter: _Waiter, detail: str, retry_after_s: float) -> None:
         self._waiting -= 1
@@ -249,11 +255,11 @@
     def _start_next_waiter(self, queue: _Queue, candidate: candidates.Candidate) -> bool:
         blocked = []
         waiter = None
-        while (head := queue.order.pop()) is not None:
-            if self._has_quota(head[0]):
-                waiter = head[1]
+        while (next_item := queue.order.pop()) is not None:
+            if self._has_quota(next_item[0]):
+                waiter = next_item[1]
                 break
-            blocked.append(head)
+            blocked.append(next_item)
         for workspace, each in reversed(blocked):
             queue.order.push_front(workspace, each)
         if waiter is None:
@@ -266,11 +272,11 @@
         return True
 
     def _refuse_all(self, queue: _Queue) -> None:
-        while (head := queue.order.pop()) is not None:
-            queue.order.mark_ready(head[0])
+        while (next_item := queue.order.pop()) is not None:
+            queue.order.mark_ready(next_item[0])
             self._waiting -= 1
-            head[1].refusal = _refusal_error(_no_server_detail(queue), DEFAULT_RETRY_AFTER_S)
-            head[1].decided.set()
+            next_item[1].refusal = _refusal_error(_no_server_detail(queue), DEFAULT_RETRY_AFTER_S)
+            next_item[1].decided.set()
 
     def _candidates(self, queue: _Queue):
         options = self.finder.find(queue.service, trio.current_time())
--- a/toucanhold/routing/incidents.py
+++ b/toucanhold/routing/incidents.py
@@ -109,7 +109,8 @@
         self._lost[tracked.request.request_id] = tracked
 
     def _concurrent_requests(self, boot: tuple[str, str]) -> int:
-        # Requests on a failed server are lost one after another, so keep the largest count.
+        # Requests on a failed server are lost one after another. Keeping the largest count prevents
+        # the last one from appearing to have run alone.
         observation = self.view.observation(boot[0])
         reported = 0
         if observation is not None and observation.report.boot_id == boot[1]:
--- a/toucanhold/routing/isolation.py
+++ b/toucanhold/routing/isolation.py
@@ -23,7 +23,7 @@
     """Backend servers that this entry or a peer reserves for one suspected request each."""
 
     exchange: exchange.Exchange
-    _until_s: dict[str, float] = attrs.field(factory=dict, init=False)
+    _isolated_until_s: dict[str, float] = attrs.field(factory=dict, init=False)
 
     def __attrs_post_init__(self) -> None:
         """Subscribe to the isolations of peers."""
@@ -31,24 +31,26 @@
 
     def begin(self, vm: str) -> None:
         """Reserve a backend server on this entry and its peers."""
-        self._set(vm, MAX_ISOLATION_S)
+        self._set_duration(vm, MAX_ISOLATION_S)
 
     def end(self, vm: str) -> None:
         """Release a reserved backend server on this entry and its peers."""
-        self._set(vm, 0.0)
+        self._set_duration(vm, 0.0)
 
     def is_isolated(self, vm: str) -> bool:
         """Tell whether a backend server is reserved for a suspected request."""
         # The time limit ends isolations whose entry died.
-        until_s = self._until_s.get(vm)
-        return until_s is not None and trio.current_time() < until_s
+        isolated_until_s = self._isolated_until_s.get(vm)
+        return isolated_until_s is not None and trio.current_time() < isolated_until_s
 
-    def _set(self, vm: str, for_s: float) -> None:
-        self._until_s[vm] = trio.current_time() + for_s
-        self.exchange.broadcast(messages.IsolationNews(vm, for_s))
+    def _set_duration(self, vm: str, duration_s: float) -> None:
+        self._isolated_until_s[vm] = trio.current_time() + duration_s
+        self.exchange.broadcast(messages.IsolationNews(vm, duration_s))
 
     def _receive_isolation(self, peer: str, message: messages.IsolationNews) -> None:
-        self._until_s[message.vm] = trio.current_time() + min(message.for_s, MAX_ISOLATION_S)
+        self._isolated_until_s[message.vm] = trio.current_time() + min(
+            message.for_s, MAX_ISOLATION_S
+        )
 
 
 @attrs.define(eq=False)
@@ -128,12 +130,12 @@
     @contextlib.asynccontextmanager
     async def _place_isolated(self, tracked: incidents.TrackedRequest, avoid: frozenset[str]):
         """Reserve an idle backend server; yields None if isolation is no longer needed."""
-        chosen = await self._wait_for_isolation(tracked, avoid)
-        if chosen is None:
+        candidate = await self._wait_for_isolation(tracked, avoid)
+        if candidate is None:
             yield None
             return
-        vm = chosen.vm.vm
-        placement = admission.Placement(chosen, tracked.request, self.capacity)
+        vm = candidate.vm.vm
+        placement = admission.Placement(candidate, tracked.request, self.capacity)
         self.in_flight.add(vm)
         try:
             yield placement
@@ -141,7 +143,7 @@
             self.in_flight.remove(vm)
             self._finish_isolation(tracked, vm)
             if not placement.is_finished:
-                self.cold.record_unfinished_end(vm, chosen.report.boot_id)
+                self.cold.record_unfinished_end(vm, candidate.report.boot_id)
 
     async def _wait_for_isolation(
         self, tracked: incidents.TrackedRequest, avoid: frozenset[str]
@@ -195,9 +197,9 @@
         usable = [each for each in usable if each.vm.vm not in avoid] or usable
         if not usable:
             return ""
-        chosen = min(usable, key=lambda each: self.capacity.load(service, each)).vm.vm
-        self.isolations.begin(chosen)
-        return chosen
+        vm = min(usable, key=lambda each: self.capacity.load(service, each)).vm.vm
+        self.isolations.begin(vm)
+        return vm
 
     def _finish_isolation(self, tracked: incidents.TrackedRequest, vm: str) -> None:
         self._isolating_services.discard(tracked.request.service.name)
--- a/toucanhold/routing/relay.py
+++ b/toucanhold/routing/relay.py
@@ -47,7 +47,7 @@
         """Tell whether the buffer exceeds ``MAX_BUFFER_BYTES``."""
         return self._buffered_bytes > MAX_BUFFER_BYTES
 
-    async def wait_space(self) -> None:
+    async def wait_for_space(self) -> None:
         """Wait until the buffer is not full.
 
         :raises requests.RequestError: when the caller reads nothing for
@@ -69,7 +69,7 @@
         self._is_ended, self._error = True, error
         self._waiting_readers.unpark_all()
 
-    async def wait_head(self) -> None:
+    async def wait_for_headers(self) -> None:
         """Wait for status and headers.
 
         :raises requests.RequestError: when the answer fails before them
--- a/toucanhold/routing/resuming.py
+++ b/toucanhold/routing/resuming.py
@@ -52,7 +52,7 @@
         expected = 0 if self.last_event_id is None else self.last_event_id + 1
         if number < expected:
             return False
-        # Some engines count from 1; a later first id, or a gap after a forwarded event, is a loss.
+        # Some engines count from 1, so a first id of 1 is no gap.
         if number > expected and (self.last_event_id is not None or number > 1):
             raise StreamGapError(f"expected event {expected}, got {number}")
         self.last_event_id = number
--- a/toucanhold/routing/suspects.py
+++ b/toucanhold/routing/suspects.py
@@ -1,4 +1,4 @@
-"""Shares with peers which requests are suspected of crashing backend servers."""
+"""Tracks requests suspected of crashing backend servers and shares them with peers."""
 
 import enum
 import hashlib
@@ -51,6 +51,8 @@
 
 @attrs.define(eq=False)
 class _Suspect:
+    """The incidents of one request, by VM and boot id, and its last use in monotonic time."""
+
     incidents: dict[tuple[str, str], Incident] = attrs.field(factory=dict)
     last_seen_at_s: float = attrs.field(factory=trio.current_time)
 
@@ -155,8 +157,8 @@
             return FULL_WEIGHT
         # Requests of other entries on that server are known only from their incidents.
         boot = (incident.vm, incident.boot_id)
-        reported = sum(boot in suspect.incidents for suspect in self._suspects.values())
-        return FULL_WEIGHT / max(1, incident.concurrent_requests, reported)
+        recorded = sum(boot in suspect.incidents for suspect in self._suspects.values())
+        return FULL_WEIGHT / max(1, incident.concurrent_requests, recorded)
 
     def _record_incident(
         self, fingerprint: bytes, boot: tuple[str, str], concurrent_requests: int, is_isolated: bool
