--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -25,8 +25,8 @@
 
     def hear(self, *members, configuration=1):
         for member in members:
-            self.roster.hear(member)
-            self.facts.hear(facts.EntryFact(member, 1, configuration=configuration), member.entry)
+            self.roster.update_from_peer(member)
+            self.facts.merge(facts.EntryFact(member, 1, configuration=configuration), member.entry)
             self.connected.add(member.entry)
 
     def answers(self, *callers, zone="", wait_s=0.0):
--- a/tests/test_order_keys.py
+++ b/tests/test_order_keys.py
@@ -16,7 +16,7 @@
     def with_known(self, body):
         async def known(store, sender, a, b):
             for one, other in ((a, b), (b, a)):
-                one.keeper.issued.roster.hear(other.keeper.issued.roster.own)
+                one.keeper.issued.roster.update_from_peer(other.keeper.issued.roster.own)
             await body(store, sender, a, b)
 
         self.with_entries(known)
--- a/tools/measure/orders.py
+++ b/tools/measure/orders.py
@@ -57,8 +57,8 @@
             claims.committer = commits.SingleCommitter(self.store, bucket)
         await self.nursery.start(entry.run)
         for other in self.entries:
-            other.keeper.issued.roster.hear(entry.keeper.issued.roster.own)
-            entry.keeper.issued.roster.hear(other.keeper.issued.roster.own)
+            other.keeper.issued.roster.update_from_peer(entry.keeper.issued.roster.own)
+            entry.keeper.issued.roster.update_from_peer(other.keeper.issued.roster.own)
         self.entries.append(entry)
         return entry
 
--- a/toucanhold/membership/facts.py
+++ b/toucanhold/membership/facts.py
@@ -52,14 +52,14 @@
         """Return the latest words of all other entries."""
         return tuple(self._facts.values())
 
-    def say(self, **changes: object) -> None:
+    def update_own(self, **changes: object) -> None:
         """Change this entry's own word."""
         changed = attrs.evolve(self.own, **changes)
         if changed != self.own:
             self.own = attrs.evolve(changed, sequence=self.own.sequence + 1)
             self._note(self.own.member.entry)
 
-    def hear(self, fact: EntryFact, source: str) -> bool:
+    def merge(self, fact: EntryFact, source: str) -> bool:
         """Take in an entry's word; false where a later one is known.
 
         :param source: the entry that told it
@@ -82,11 +82,11 @@
         self._facts.pop(entry, None)
         self._stamps.pop(entry, None)
 
-    def start_telling(self, peer: str) -> None:
-        """Have the next :meth:`news_for` return everything."""
+    def send_all_to(self, peer: str) -> None:
+        """Have the next :meth:`pending_for` return everything."""
         self._told[peer] = -1
 
-    def news_for(self, peer: str) -> tuple[EntryFact, ...]:
+    def pending_for(self, peer: str) -> tuple[EntryFact, ...]:
         """Return what changed since the last call for this peer; its own word is left out."""
         told, self._told[peer] = self._told.get(peer, -1), self._stamp
         own = self.own.member.entry
--- a/toucanhold/membership/roster.py
+++ b/toucanhold/membership/roster.py
@@ -84,7 +84,7 @@
         """Tell whether the key-value service's last list has an entry."""
         return entry in self._listed
 
-    def hear(self, member: Member) -> None:
+    def update_from_peer(self, member: Member) -> None:
         """Take in what an entry says of itself."""
         if member.entry != self.own.entry:
             self._heard[member.entry] = member
--- a/toucanhold/peers/revisions.py
+++ b/toucanhold/peers/revisions.py
@@ -50,13 +50,13 @@
     def heartbeat(self, peer: str) -> messages.Heartbeat:
         """Return what to tell a peer now."""
         number, revision = self.configuration.current.number, self.plans.revision
-        self.facts.say(
+        self.facts.update_own(
             member=self.roster.own,
             configuration=number,
             plan_revision=revision,
             holds=tuple(hold.hold for hold in self.configuration.holds()),
         )
-        news = self.facts.news_for(peer)
+        news = self.facts.pending_for(peer)
         return messages.Heartbeat(number, revision, plan_digest(self.plans), news)
 
     def announce(self) -> None:
@@ -79,12 +79,12 @@
 
     def _start(self, peer: str) -> None:
         self._heard.pop(peer, None)
-        self.facts.start_telling(peer)
+        self.facts.send_all_to(peer)
 
     def _take_heartbeat(self, peer: str, message: messages.Heartbeat) -> None:
         for fact in message.facts:
-            if self.facts.hear(fact, peer):
-                self.roster.hear(fact.member)
+            if self.facts.merge(fact, peer):
+                self.roster.update_from_peer(fact.member)
         former = self._heard.get(peer, _Heard(0))
         self._heard[peer] = attrs.evolve(former, configuration=message.configuration)
         if message.configuration > self.configuration.current.number:
