--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -120,7 +120,7 @@
 
 
 def planned_other(node, before):
-    return before.place not in [group.place for group in node.plans.groups()]
+    return before.generation_key not in [group.generation_key for group in node.plans.groups()]
 
 
 async def delete_plan(site):
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -121,7 +121,9 @@
                 await trio.sleep(1.5)
                 site.engine(1).mode = fleet.Mode.UP
                 await trio.sleep(4)
-                self.assertEqual([before.place], [group.place for group in node.whole_groups()])
+                self.assertEqual(
+                    [before.generation_key], [group.generation_key for group in node.whole_groups()]
+                )
 
         scenes.run(test)
 
@@ -209,7 +211,9 @@
             await scenes.wait_until(node.whole_groups, 40)
             (group,) = node.whole_groups()
             await trio.sleep(20)
-            self.assertEqual([group.place], [each.place for each in node.whole_groups()])
+            self.assertEqual(
+                [group.generation_key], [each.generation_key for each in node.whole_groups()]
+            )
 
     def test_loads_are_bounded_and_the_most_important_go_first(self):
         async def test():
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -283,9 +283,9 @@
         used = set()
         for lost in rounds:
             facts = attrs.evolve(facts, usable=frozenset(facts.vms) - lost, lost=frozenset(lost))
-            known = {group.place for group in groups_of(facts)}
+            known = {group.generation_key for group in groups_of(facts)}
             facts, _ = settle(facts)
-            new = {group.place for group in groups_of(facts)} - known
+            new = {group.generation_key for group in groups_of(facts)} - known
             self.assertFalse(new & used)
             used |= new
             self._check(facts)
@@ -310,7 +310,7 @@
 
 
 def _places(facts):
-    return {group.place for group in groups_of(facts)}
+    return {group.generation_key for group in groups_of(facts)}
 
 
 def _vms_in(facts, zone):
--- a/tests/test_planner_peers.py
+++ b/tests/test_planner_peers.py
@@ -84,7 +84,9 @@
                 self.assertNotIn(before.members[1], during.members)
                 site.platform.set_mode("up")
                 await trio.sleep(20)
-                self.assertEqual([during.place], [each.place for each in other.whole_groups()])
+                self.assertEqual(
+                    [during.generation_key], [each.generation_key for each in other.whole_groups()]
+                )
                 self.assertTrue(scenes.is_formed(other))
                 lost.mode = fleet.Mode.UP
                 await scenes.wait_until(lambda: lost.place is None)
@@ -106,7 +108,9 @@
                 await scenes.wait_until(lambda: scenes.other_generation(new, before))
                 (now,) = new.whole_groups()
                 await trio.sleep(30)
-                self.assertEqual([now.place], [each.place for each in new.whole_groups()])
+                self.assertEqual(
+                    [now.generation_key], [each.generation_key for each in new.whole_groups()]
+                )
 
         scenes.run(test)
 
--- a/toucanhold/observing/view.py
+++ b/toucanhold/observing/view.py
@@ -160,9 +160,9 @@
         # prefixes are gone; so the generation is over on this entry at once, planner or not.
         if before.group is None:
             return
-        place = (before.group, before.generation)
-        if place != (now.group, now.generation) or before.boot_id != now.boot_id:
-            self.end_generation(*place)
+        generation_key = (before.group, before.generation)
+        if generation_key != (now.group, now.generation) or before.boot_id != now.boot_id:
+            self.end_generation(*generation_key)
 
     def _tell(self, vm: str) -> None:
         for listener in self._listeners:
--- a/toucanhold/planning/board.py
+++ b/toucanhold/planning/board.py
@@ -150,9 +150,13 @@
         changed = []
         for domain in self.facts.plans.keys() | self.groups.keys():
             old = self.facts.plans.get(domain) or plan.DomainPlan(domain)
-            kept = {group.place: group for group in self.parked.get(domain, ())}
-            kept |= {group.place: group for group in self.groups.get(domain, ())}
-            groups = [kept.pop(group.place) for group in old.groups if group.place in kept]
+            kept = {group.generation_key: group for group in self.parked.get(domain, ())}
+            kept |= {group.generation_key: group for group in self.groups.get(domain, ())}
+            groups = [
+                kept.pop(group.generation_key)
+                for group in old.groups
+                if group.generation_key in kept
+            ]
             groups += kept.values()
             if tuple(groups) != old.groups:
                 last = max(self._generations.get(domain, 0), old.last_generation)
@@ -172,9 +176,9 @@
             service = services.get(group.service)
             if service is None or len(group.members) != service.vms_per_replica:
                 continue
-            substitute = facts.substitutes.get(group.place)
+            substitute = facts.substitutes.get(group.generation_key)
             if substitute is not None and not facts.is_broken(substitute):
-                formed = substitute.place in facts.whole
+                formed = substitute.generation_key in facts.whole
                 board.add(domain, attrs.evolve(substitute, formed=formed))
                 continue
             if facts.is_broken(group):
--- a/toucanhold/planning/facts.py
+++ b/toucanhold/planning/facts.py
@@ -42,10 +42,12 @@
             lost=frozenset(vm.vm for vm in vms if self._is_lost(vm, now_s)),
             reports=reports,
             ended=frozenset(
-                group.place for group in self.plans.groups() if self.view.is_ended(*group.place)
+                group.generation_key
+                for group in self.plans.groups()
+                if self.view.is_ended(*group.generation_key)
             ),
             whole=frozenset(
-                group.place for group in self.plans.groups() if self.is_whole(group, now_s)
+                group.generation_key for group in self.plans.groups() if self.is_whole(group, now_s)
             ),
             generation_floor=generation_floor(fencing, reports.values()),
             substitutes=self._substitutes(),
@@ -61,18 +63,18 @@
             for group in versioned.plan.groups:
                 substitute = self.plans.overlay_of(group)
                 if substitute is not None:
-                    known[group.place] = substitute
+                    known[group.generation_key] = substitute
         return known
 
     def is_whole(self, group: plan.Group, now_s: float) -> bool:
         """Tell whether all members say, freshly, that they have joined."""
         for member in group.members:
             report = self.view.fresh_report(member, now_s)
-            if report is None or (report.group, report.generation) != group.place:
+            if report is None or (report.group, report.generation) != group.generation_key:
                 return False
             if not group.expects_boot(member, report.boot_id):
                 return False
-        return not self.view.is_ended(*group.place)
+        return not self.view.is_ended(*group.generation_key)
 
     def _is_usable(self, vm: inventory.Vm, now_s: float) -> bool:
         return (
--- a/toucanhold/planning/ordering.py
+++ b/toucanhold/planning/ordering.py
@@ -82,7 +82,7 @@
                 continue
             wanted = self.plans.group_of(vm.vm, vm.fabric_domain)
             if wanted is not None and self._has_left(vm, report, wanted):
-                self.view.end_generation(*wanted.place)
+                self.view.end_generation(*wanted.generation_key)
             elif self._must_leave(vm, report, wanted, now_s):
                 leaves.append(DueOrder(vm, client.LeaveOrder(self._number(vm, fencing))))
             elif wanted and report.group is None and self._may_join(vm, report, wanted):
@@ -91,12 +91,12 @@
         return [each for each in due if not self._was_just_sent(each, now_s)]
 
     def _note_unplanned(self, now_s: float) -> None:
-        planned = {group.place for group in self.plans.groups()}
-        seen = {self._reported_place(vm.vm) for vm in self.configuration.current.inventory.vms}
+        planned = {group.generation_key for group in self.plans.groups()}
+        seen = {self._reported_generation(vm.vm) for vm in self.configuration.current.inventory.vms}
         self._unplanned_since_s = {
-            place: self._unplanned_since_s.get(place, now_s)
-            for place in seen
-            if place is not None and place not in planned
+            generation_key: self._unplanned_since_s.get(generation_key, now_s)
+            for generation_key in seen
+            if generation_key is not None and generation_key not in planned
         }
 
     def _settled_report(self, vm: inventory.Vm, now_s: float) -> client.Report | None:
@@ -124,42 +124,43 @@
     def _must_leave(
         self, vm: inventory.Vm, report: client.Report, wanted: plan.Group | None, now_s: float
     ) -> bool:
-        place = (report.group, report.generation)
+        generation_key = (report.group, report.generation)
         if report.group is not None:
-            planned = wanted is not None and wanted.place == place
+            planned = wanted is not None and wanted.generation_key == generation_key
             return not planned and self._may_leave(vm, report, now_s)
         sent = self._sent.get(vm.vm)
         if not report.loading or sent is None or not isinstance(sent.order, client.JoinOrder):
             return False
         # It loads for a group that was dropped meanwhile, which can take minutes.
-        return wanted is None or wanted.place != (sent.order.group, sent.order.generation)
+        return wanted is None or wanted.generation_key != (sent.order.group, sent.order.generation)
 
     def _may_leave(self, vm: inventory.Vm, report: client.Report, now_s: float) -> bool:
-        place = (report.group, report.generation)
-        former = self.plans.former(place)
-        members = former.members if former else self._cohort(vm, place)
-        if self._is_broken(members, place, former, now_s):
+        generation_key = (report.group, report.generation)
+        former = self.plans.former(generation_key)
+        members = former.members if former else self._cohort(vm, generation_key)
+        if self._is_broken(members, generation_key, former, now_s):
             # What is in flight there cannot finish: the sooner it breaks off, the sooner it is
             # finished elsewhere.
             return True
         # The first member goes alone. Once it is out no request can reach the group, so the other
         # members may go; the other way round a group with members missing could get one.
-        if report.rank != 0 or now_s - self._unplanned_since_s.get(place, now_s) < QUIET_S:
+        if report.rank != 0 or now_s - self._unplanned_since_s.get(generation_key, now_s) < QUIET_S:
             return False
         # A planned change never cuts requests in flight, on whichever member they run.
         return all(self._is_idle(member, now_s) for member in members)
 
-    def _cohort(self, vm: inventory.Vm, place: tuple[str, int]) -> tuple[str, ...]:
+    def _cohort(self, vm: inventory.Vm, generation_key: tuple[str, int]) -> tuple[str, ...]:
         return tuple(
             other.vm
             for other in self.configuration.current.inventory.vms
-            if other.fabric_domain == vm.fabric_domain and self._reported_place(other.vm) == place
+            if other.fabric_domain == vm.fabric_domain
+            and self._reported_generation(other.vm) == generation_key
         )
 
     def _is_broken(
         self,
         members: collections.abc.Sequence[str],
-        place: tuple[str, int],
+        generation_key: tuple[str, int],
         former: plan.Group | None,
         now_s: float,
     ) -> bool:
@@ -168,14 +169,14 @@
             seen = self.view.observation(member)
             if seen is None or self.view.is_lost(member, now_s):
                 return True
-            if self._reported_place(member) != place:
+            if self._reported_generation(member) != generation_key:
                 return True
             if former is not None and not former.expects_boot(member, seen.report.boot_id):
                 return True
             ranks.add(seen.report.rank)
         return ranks != set(range(len(members)))
 
-    def _reported_place(self, vm: str) -> tuple[str, int] | None:
+    def _reported_generation(self, vm: str) -> tuple[str, int] | None:
         seen = self.view.observation(vm)
         if seen is None or seen.report.group is None:
             return None
@@ -193,13 +194,13 @@
         sent = self._sent.get(vm.vm)
         if sent is None or not sent.taken or not isinstance(sent.order, client.JoinOrder):
             return False
-        same = (sent.order.group, sent.order.generation) == wanted.place
+        same = (sent.order.group, sent.order.generation) == wanted.generation_key
         return same and report.group is None and not report.loading
 
     def _may_join(self, vm: inventory.Vm, report: client.Report, wanted: plan.Group) -> bool:
         # A member that has left never comes back into its old generation: what it held is gone,
         # though the group would look whole again.
-        if report.loading or wanted.formed or self.view.is_ended(*wanted.place):
+        if report.loading or wanted.formed or self.view.is_ended(*wanted.generation_key):
             return False
         if not wanted.expects_boot(vm.vm, report.boot_id):
             return False
@@ -216,7 +217,9 @@
         # late, the important service's among them.
         rules = self.configuration.current.rules
         importance = {service.name: service.importance for service in rules.services}
-        joins.sort(key=lambda each: (-importance.get(each.group.service, 0), each.group.place))
+        joins.sort(
+            key=lambda each: (-importance.get(each.group.service, 0), each.group.generation_key)
+        )
         room = rules.max_loading_vms or len(joins) + 1
         room -= self._loading(now_s, {join.vm.vm for join in joins})
         chosen = []
--- a/toucanhold/planning/placement.py
+++ b/toucanhold/planning/placement.py
@@ -47,7 +47,7 @@
 
     def is_broken(self, group: plan.Group) -> bool:
         """Tell whether a group lost a member, so that its generation is over."""
-        if group.place in self.ended:
+        if group.generation_key in self.ended:
             return True
         return any(self.has_left(member, group) for member in group.members)
 
@@ -60,7 +60,7 @@
                 return f"{member} restarted or left the group"
             if is_out(member, self):
                 return f"the availability zone of {member} is out"
-        if group.place in self.ended:
+        if group.generation_key in self.ended:
             return "a member was seen to leave"
         service = self.configuration.rules.service(group.service)
         if service is None or not is_current(group, service):
@@ -93,7 +93,7 @@
             return member in self.lost
         if member in self.lost or not group.expects_boot(member, report.boot_id):
             return True
-        return group.formed and (report.group, report.generation) != group.place
+        return group.formed and (report.group, report.generation) != group.generation_key
 
 
 @attrs.frozen
--- a/toucanhold/planning/planner.py
+++ b/toucanhold/planning/planner.py
@@ -116,9 +116,9 @@
         self._note_shortfalls(decided.shortfalls)
         for domain_plan in decided.changed:
             old = self.plans.domain(domain_plan.domain).plan
-            reasons = {group.place: known.reason_to_end(group) for group in old.groups}
+            reasons = {group.generation_key: known.reason_to_end(group) for group in old.groups}
             new = set(domain_plan.groups) - set(old.groups)
-            reasons |= {group.place: known.reason_to_form(group) for group in new}
+            reasons |= {group.generation_key: known.reason_to_form(group) for group in new}
             await self.writer.write(domain_plan, reasons)
         await self._note_formed(known.whole)
         if not self.term_log.has_begun:
@@ -132,7 +132,7 @@
         for versioned in self.plans.domains():
             old = versioned.plan
             groups = tuple(
-                attrs.evolve(group, formed=group.formed or group.place in whole)
+                attrs.evolve(group, formed=group.formed or group.generation_key in whole)
                 for group in old.groups
             )
             if groups != old.groups and await self.writer.write(attrs.evolve(old, groups=groups)):
--- a/toucanhold/planning/spreading.py
+++ b/toucanhold/planning/spreading.py
@@ -194,7 +194,7 @@
             board.services[group.service].importance,
             -len(board.active(group.service)),
             group.formed,
-            group.place,
+            group.generation_key,
         )
     )
     victims = []
@@ -221,7 +221,7 @@
     _trim_formed(board, service, strategy)
     formed = [group for group in board.active(service.name) if group.formed]
     forming = [group for group in board.active(service.name) if not group.formed]
-    forming.sort(key=lambda group: (not placement.is_current(group, service), group.place))
+    forming.sort(key=lambda group: (not placement.is_current(group, service), group.generation_key))
     room = max(0, service.replicas - len(formed))
     for group in forming[:room]:
         if not placement.is_current(group, service):
@@ -244,7 +244,7 @@
 def _expendability(board: boards.Board, service: rules.Service, group: plan.Group) -> tuple:
     outdated = not placement.is_current(group, service)
     crowded = zone_cost(board, service, board.zone_of(group))
-    return (outdated, crowded, _is_cold(board, group), group.place)
+    return (outdated, crowded, _is_cold(board, group), group.generation_key)
 
 
 def _is_cold(board: boards.Board, group: plan.Group) -> bool:
--- a/toucanhold/planning/writing.py
+++ b/toucanhold/planning/writing.py
@@ -119,24 +119,24 @@
 def _log_changes(
     old: plan.DomainPlan, new: plan.DomainPlan, reasons: collections.abc.Mapping
 ) -> None:
-    planned = {group.place for group in new.groups}
-    known = {group.place for group in old.groups}
+    planned = {group.generation_key for group in new.groups}
+    known = {group.generation_key for group in old.groups}
     for group in old.groups:
-        if group.place not in planned:
+        if group.generation_key not in planned:
             events.log(
                 LOGGER,
                 events.Event.GROUP_ENDED,
                 group=group.group,
                 service=group.service,
-                reason=reasons.get(group.place, "another planner's decision"),
+                reason=reasons.get(group.generation_key, "another planner's decision"),
             )
     for group in new.groups:
-        if group.place not in known:
+        if group.generation_key not in known:
             events.log(
                 LOGGER,
                 events.Event.GROUP_PLANNED,
                 group=group.group,
                 service=group.service,
                 members=list(group.members),
-                reason=reasons.get(group.place, "another planner's decision"),
+                reason=reasons.get(group.generation_key, "another planner's decision"),
             )
--- a/toucanhold/plans/plan.py
+++ b/toucanhold/plans/plan.py
@@ -59,7 +59,7 @@
     spare_boot: str = ""
 
     @property
-    def place(self) -> tuple[str, int]:
+    def generation_key(self) -> tuple[str, int]:
         """Group and generation, as members report them."""
         return (self.group, self.generation)
 
@@ -103,10 +103,10 @@
 class PlanHolder:
     """The plan as this entry knows it.
 
-    :ivar changes: counts the changes taken in
+    :ivar change_count: number of changes applied; grows whenever a cached derivation is stale
     """
 
-    changes: int = attrs.field(default=0, init=False)
+    change_count: int = attrs.field(default=0, init=False)
     _domains: dict[str, VersionedDomainPlan] = attrs.field(factory=dict)
     _overlays: dict[tuple[str, int], Group] = attrs.field(factory=dict)
     _former: dict[tuple[str, int], Group] = attrs.field(factory=dict)
@@ -124,34 +124,35 @@
         """Yield every group."""
         for versioned in self._domains.values():
             for group in versioned.plan.groups:
-                yield self._overlays.get(group.place, group)
+                yield self._overlays.get(group.generation_key, group)
 
     def group_of(self, vm: str, domain: str) -> Group | None:
         """Return the group that a VM of ``domain`` is to be in, substitutes considered."""
         groups = (
-            self._overlays.get(group.place, group) for group in self.domain(domain).plan.groups
+            self._overlays.get(group.generation_key, group)
+            for group in self.domain(domain).plan.groups
         )
         return next((group for group in groups if vm in group.members), None)
 
     def overlay(self, group: Group, substitute: Group) -> bool:
         """Let ``substitute`` stand for a group until its record changes; false if one does."""
-        if group.place in self._overlays:
+        if group.generation_key in self._overlays:
             return False
-        self._overlays[group.place] = substitute
+        self._overlays[group.generation_key] = substitute
         self._signal()
         return True
 
     def overlay_of(self, group: Group) -> Group | None:
         """Return what stands for a group."""
-        return self._overlays.get(group.place)
+        return self._overlays.get(group.generation_key)
 
     def overlaid(self) -> tuple[Group, ...]:
         """Return all substitutes."""
         return tuple(self._overlays.values())
 
-    def former(self, place: tuple[str, int]) -> Group | None:
+    def former(self, generation_key: tuple[str, int]) -> Group | None:
         """Return a group that was planned until lately."""
-        return self._former.get(place)
+        return self._former.get(generation_key)
 
     @property
     def revision(self) -> int:
@@ -170,7 +171,7 @@
         return True
 
     def _signal(self) -> None:
-        self.changes += 1
+        self.change_count += 1
         self._changed.set()
         self._changed = trio.Event()
 
@@ -179,11 +180,11 @@
         await self._changed.wait()
 
     def _remember_former(self, old: DomainPlan, new: DomainPlan) -> None:
-        planned = {group.place for group in new.groups}
+        planned = {group.generation_key for group in new.groups}
         for group in old.groups:
-            if group.place not in planned:
-                self._former[group.place] = group
-                self._overlays.pop(group.place, None)
+            if group.generation_key not in planned:
+                self._former[group.generation_key] = group
+                self._overlays.pop(group.generation_key, None)
         while len(self._former) > FORMER_GROUPS_KEPT:
             del self._former[next(iter(self._former))]
 
--- a/toucanhold/routing/candidates.py
+++ b/toucanhold/routing/candidates.py
@@ -169,7 +169,7 @@
 
     def _follow_basis(self) -> None:
         current = self.configuration.current
-        basis = _Basis(current, self.plans.changes, self.view.platform_leaving)
+        basis = _Basis(current, self.plans.change_count, self.view.platform_leaving)
         if basis.is_same(self._basis):
             return
         self._basis = basis
@@ -214,13 +214,13 @@
         # The plan says who should serve, an order that was sent says nothing: only the members'
         # own fresh and equal reports show that the group exists. Without this a group that lost a
         # member, or that an old planner's order took apart, would get requests it cannot serve.
-        if self.view.is_ended(*group.place):
+        if self.view.is_ended(*group.generation_key):
             return False
         for member in group.members:
             report = self.view.fresh_report(member, now_s)
             if report is None or report.loading:
                 return False
-            if (report.group, report.generation) != group.place:
+            if (report.group, report.generation) != group.generation_key:
                 return False
             if not group.expects_boot(member, report.boot_id):
                 return False
--- a/toucanhold/routing/watchdog.py
+++ b/toucanhold/routing/watchdog.py
@@ -59,7 +59,7 @@
         if self.view.is_silent(candidate.vm.vm, now_s):
             return "the backend server no longer answers"
         group = candidate.group
-        if group is not None and self.view.is_ended(*group.place):
+        if group is not None and self.view.is_ended(*group.generation_key):
             return "the group has lost a member"
         observation = self.view.observation(candidate.vm.vm)
         if observation is not None and observation.report.boot_id != candidate.report.boot_id:
