--- a/standins/planners.py
+++ b/standins/planners.py
@@ -49,7 +49,7 @@
         return [
             group
             for group in self.plans.groups()
-            if self.planner.composer.is_whole(group, now_s) and not self._is_out(group)
+            if self.planner.input_builder.is_complete(group, now_s) and not self._is_out(group)
         ]
 
     def _is_out(self, group: plan.Group) -> bool:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -21,7 +21,7 @@
     return rules.Service(name, **given)
 
 
-def facts_of(vms, services, plans=None, lost=(), zones_out=(), reports=None, **fields):
+def new_inputs(vms, services, plans=None, lost=(), zones_out=(), reports=None, **fields):
     other = {name: fields.pop(name) for name in ("availability_zones",) if name in fields}
     configuration = planners.new_configuration(vms, services, zones_out, **other)
     usable = frozenset(
@@ -33,11 +33,11 @@
     )
 
 
-def settle(facts, formed=True):
+def settle(inputs, formed=True):
     """Return the facts once the placement is carried out, and the placement."""
-    placed = POLICY.place(facts)
-    plans = dict(facts.plans) | {each.domain: each for each in placed.changed}
-    return attrs.evolve(facts, plans=form(plans) if formed else plans), placed
+    placed = POLICY.place(inputs)
+    plans = dict(inputs.plans) | {each.domain: each for each in placed.changed}
+    return attrs.evolve(inputs, plans=form(plans) if formed else plans), placed
 
 
 def form(plans):
@@ -49,10 +49,10 @@
     }
 
 
-def with_reports(facts):
+def with_reports(inputs):
     """Return the facts once all members report their groups."""
-    reports = dict(facts.reports)
-    for group in groups_of(facts):
+    reports = dict(inputs.reports)
+    for group in groups_of(inputs):
         for rank, member in enumerate(group.members):
             reports[member] = client.Report(
                 member,
@@ -64,27 +64,29 @@
                 model=group.model,
                 version=group.version,
             )
-    return attrs.evolve(facts, reports=reports)
+    return attrs.evolve(inputs, reports=reports)
 
 
-def groups_of(facts, name=None):
-    groups = [group for each in facts.plans.values() for group in each.groups]
+def groups_of(inputs, name=None):
+    groups = [group for each in inputs.plans.values() for group in each.groups]
     return [group for group in groups if name in (None, group.service)]
 
 
-def zones_of(facts, name):
-    vms = facts.vms
+def zones_of(inputs, name):
+    vms = inputs.vms
     return collections.Counter(
-        vms[group.members[0]].availability_zone for group in groups_of(facts, name)
+        vms[group.members[0]].availability_zone for group in groups_of(inputs, name)
     )
 
 
 def started(vms, services, **fields):
-    return with_reports(settle(facts_of(vms, services, **fields))[0])
+    return with_reports(settle(new_inputs(vms, services, **fields))[0])
 
 
-def lose(facts, *names):
-    return attrs.evolve(facts, usable=facts.usable - set(names), lost=facts.lost | frozenset(names))
+def lose(inputs, *names):
+    return attrs.evolve(
+        inputs, usable=inputs.usable - set(names), lost=inputs.lost | frozenset(names)
+    )
 
 
 class SpreadTest(unittest.TestCase):
@@ -125,8 +127,8 @@
                 service("old", replicas=2, importance=5),
                 service("new", importance=importance),
             ]
-            facts = facts_of(vms, services, plans=first.plans, reports=first.reports)
-            after, _ = settle(facts)
+            inputs = new_inputs(vms, services, plans=first.plans, reports=first.reports)
+            after, _ = settle(inputs)
             self.assertEqual(expected, sorted(group.service for group in groups_of(after)))
 
 
@@ -157,7 +159,7 @@
             for vm in vms
             if vm.vm in ("vm-0-1-1", "vm-0-1-2")
         }
-        after, _ = settle(facts_of(vms, [service()], reports=loaded))
+        after, _ = settle(new_inputs(vms, [service()], reports=loaded))
         self.assertEqual({"vm-0-1-1", "vm-0-1-2"}, set(groups_of(after)[0].members))
 
     def test_dark_domain_that_returns_moves_nothing_before_it_is_settled(self):
@@ -181,11 +183,11 @@
     def _changed(self, vms):
         before = started(vms, [service(replicas=2)])
         newer = service(replicas=2, version="2")
-        return before, facts_of(vms, [newer], plans=before.plans, reports=before.reports)
+        return before, new_inputs(vms, [newer], plans=before.plans, reports=before.reports)
 
     def test_new_version_serves_before_the_old_one_leaves(self):
-        before, facts = self._changed(planners.new_vms(2, 1, 4))
-        during, _ = settle(facts, formed=False)
+        before, inputs = self._changed(planners.new_vms(2, 1, 4))
+        during, _ = settle(inputs, formed=False)
         self.assertEqual(["1", "1", "2"], sorted(group.version for group in groups_of(during)))
         self.assertEqual((), POLICY.place(during).changed)
         for _ in range(6):
@@ -194,8 +196,8 @@
         self.assertEqual(["2", "2"], [group.version for group in groups_of(during)])
 
     def test_without_room_one_replica_is_replaced_at_a_time(self):
-        before, facts = self._changed(planners.new_vms(2, 1, 2))
-        during, _ = settle(facts, formed=False)
+        before, inputs = self._changed(planners.new_vms(2, 1, 2))
+        during, _ = settle(inputs, formed=False)
         self.assertEqual(["1", "2"], sorted(group.version for group in groups_of(during)))
         self.assertEqual((), POLICY.place(during).changed)
 
@@ -238,8 +240,8 @@
         busy = _vms_in(before, "zone-1")[0]
         reports = dict(before.reports)
         reports[busy] = attrs.evolve(reports[busy], running=4)
-        facts = attrs.evolve(before, reports=reports)
-        seen = preview.without_zones(POLICY, facts, ["zone-1"])
+        inputs = attrs.evolve(before, reports=reports)
+        seen = preview.without_zones(POLICY, inputs, ["zone-1"])
         self.assertTrue(seen.falls_short)
         self.assertEqual(
             [("a", 3, 3), ("b", 3, 1)],
@@ -279,45 +281,45 @@
         # Whatever dies and returns: no VM in two groups, no group across fabric domains, no
         # generation twice, and a second look at the same facts changes nothing.
         vms, services, rounds = site
-        facts = facts_of(vms, services, generation_floor=7)
+        inputs = new_inputs(vms, services, generation_floor=7)
         used = set()
         for lost in rounds:
-            facts = attrs.evolve(facts, usable=frozenset(facts.vms) - lost, lost=frozenset(lost))
-            known = {group.generation_key for group in groups_of(facts)}
-            facts, _ = settle(facts)
-            new = {group.generation_key for group in groups_of(facts)} - known
+            inputs = attrs.evolve(inputs, usable=frozenset(inputs.vms) - lost, lost=frozenset(lost))
+            known = {group.generation_key for group in groups_of(inputs)}
+            inputs, _ = settle(inputs)
+            new = {group.generation_key for group in groups_of(inputs)} - known
             self.assertFalse(new & used)
             used |= new
-            self._check(facts)
-            facts = with_reports(facts)
-            facts = attrs.evolve(facts, settled_s=0.0)
-            self.assertEqual((), POLICY.place(facts).changed)
-
-    def _check(self, facts):
-        services = {each.name: each for each in facts.configuration.rules.services}
-        members = [member for group in groups_of(facts) for member in group.members]
+            self._check(inputs)
+            inputs = with_reports(inputs)
+            inputs = attrs.evolve(inputs, settled_s=0.0)
+            self.assertEqual((), POLICY.place(inputs).changed)
+
+    def _check(self, inputs):
+        services = {each.name: each for each in inputs.configuration.rules.services}
+        members = [member for group in groups_of(inputs) for member in group.members]
         self.assertEqual(len(members), len(set(members)))
-        for group in groups_of(facts):
+        for group in groups_of(inputs):
             wanted = services[group.service]
-            vms = [facts.vms[member] for member in group.members]
+            vms = [inputs.vms[member] for member in group.members]
             self.assertEqual(1, len({vm.fabric_domain for vm in vms}))
             self.assertEqual(wanted.vms_per_replica, len(vms))
             self.assertTrue(all(vm.accelerators >= wanted.accelerators_per_vm for vm in vms))
-            self.assertTrue(set(group.members) <= facts.usable)
-        for each in facts.plans.values():
+            self.assertTrue(set(group.members) <= inputs.usable)
+        for each in inputs.plans.values():
             self.assertIsInstance(each, plan.DomainPlan)
             self.assertTrue(all(group.generation <= each.last_generation for group in each.groups))
 
 
-def _places(facts):
-    return {group.generation_key for group in groups_of(facts)}
+def _places(inputs):
+    return {group.generation_key for group in groups_of(inputs)}
 
 
-def _vms_in(facts, zone):
-    return [vm.vm for vm in facts.configuration.inventory.vms if vm.availability_zone == zone]
+def _vms_in(inputs, zone):
+    return [vm.vm for vm in inputs.configuration.inventory.vms if vm.availability_zone == zone]
 
 
-def _zones_out(facts, *zones):
-    configuration = attrs.evolve(facts.configuration, zones_out=frozenset(zones))
-    gone = {name for zone in zones for name in _vms_in(facts, zone)}
-    return attrs.evolve(facts, configuration=configuration, usable=facts.usable - gone)
+def _zones_out(inputs, *zones):
+    configuration = attrs.evolve(inputs.configuration, zones_out=frozenset(zones))
+    gone = {name for zone in zones for name in _vms_in(inputs, zone)}
+    return attrs.evolve(inputs, configuration=configuration, usable=inputs.usable - gone)
--- a/tools/measure/placement.py
+++ b/tools/measure/placement.py
@@ -11,7 +11,7 @@
 from toucanhold.backends import client
 from toucanhold.configuration import holder, rules
 from toucanhold.observing import view
-from toucanhold.planning import facts, placement
+from toucanhold.planning import input_building, placement
 from toucanhold.plans import plan
 
 DECISION_SIZES = (100, 1_000, 12_000)
@@ -88,9 +88,11 @@
             plans.apply(plan.VersionedDomainPlan(each, revision))
         for vm in configuration.inventory.vms:
             seen.record(vm.vm, client.Report(vm.vm, "1"), trio.current_time())
-        composer = facts.FactsComposer(holder.ConfigurationHolder(configuration), plans, seen)
+        input_builder = input_building.PlacementInputBuilder(
+            holder.ConfigurationHolder(configuration), plans, seen
+        )
         started_s = time.perf_counter()
-        composer.compose(1)
+        input_builder.build(1)
         return time.perf_counter() - started_s
 
     return trio.run(gather)
--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -270,7 +270,7 @@
             operators_changes,
             self.configuration,
             self.status_composer,
-            preview.Previewer(self.planner.policy, self.planner.composer),
+            preview.Previewer(self.planner.policy, self.planner.input_builder),
             self.metrics,
             own.operator_token,
         )
--- a/toucanhold/planning/facts.py
+++ b/toucanhold/planning/input_building.py
@@ -13,7 +13,7 @@
 
 
 @attrs.define(eq=False)
-class FactsComposer:
+class PlacementInputBuilder:
     """Reads configuration, plan and view; remembers since when the same VMs are usable."""
 
     configuration: holder.ConfigurationHolder
@@ -22,7 +22,7 @@
     _usable: frozenset[str] = attrs.field(default=frozenset(), init=False)
     _usable_since_s: float = attrs.field(default=float("-inf"), init=False)
 
-    def compose(self, fencing: int) -> placement.PlacementInput:
+    def build(self, fencing: int) -> placement.PlacementInput:
         """Return the facts now.
 
         :param fencing: the planner's fencing number
@@ -47,7 +47,9 @@
                 if self.view.is_ended(*group.generation_key)
             ),
             whole=frozenset(
-                group.generation_key for group in self.plans.groups() if self.is_whole(group, now_s)
+                group.generation_key
+                for group in self.plans.groups()
+                if self.is_complete(group, now_s)
             ),
             generation_floor=generation_floor(fencing, reports.values()),
             substitutes=self._substitutes(),
@@ -61,12 +63,12 @@
         known = {}
         for versioned in self.plans.domains():
             for group in versioned.plan.groups:
-                substitute = self.plans.overlay_of(group)
+                substitute = self.plans.substitute_of(group)
                 if substitute is not None:
                     known[group.generation_key] = substitute
         return known
 
-    def is_whole(self, group: plan.Group, now_s: float) -> bool:
+    def is_complete(self, group: plan.Group, now_s: float) -> bool:
         """Tell whether all members say, freshly, that they have joined."""
         for member in group.members:
             report = self.view.fresh_report(member, now_s)
--- a/toucanhold/planning/ordering.py
+++ b/toucanhold/planning/order_scheduling.py
@@ -8,7 +8,7 @@
 from toucanhold.backends import client
 from toucanhold.configuration import holder, inventory
 from toucanhold.observing import view
-from toucanhold.planning import facts, terms
+from toucanhold.planning import input_building, terms
 from toucanhold.plans import plan
 
 ORDER_REPEAT_S = 5.0
@@ -54,7 +54,7 @@
 
 
 @attrs.define(eq=False)
-class Ordering:
+class OrderScheduler:
     """Compares the plan with what engines report."""
 
     configuration: holder.ConfigurationHolder
@@ -210,7 +210,7 @@
         # its new group. Until no earlier planner can act it joins only groups that were planned
         # in their time: whatever they still order follows the same plan.
         oldest = min((term.fencing for term in self.term_log.earlier()), default=None)
-        return oldest is None or wanted.generation // facts.GENERATIONS_PER_TERM <= oldest
+        return oldest is None or wanted.generation // input_building.GENERATIONS_PER_TERM <= oldest
 
     def _affordable(self, joins: list[Join], now_s: float) -> list[Join]:
         # The weight store gives all loads together a fixed rate. Twenty at once would all finish
--- a/toucanhold/planning/placement.py
+++ b/toucanhold/planning/placement.py
@@ -117,23 +117,23 @@
     """Decides which VMs form groups."""
 
     @abc.abstractmethod
-    def place(self, facts: PlacementInput) -> Placement:
-        """Return the plan for ``facts``; groups that can go on keep their generation."""
+    def place(self, inputs: PlacementInput) -> Placement:
+        """Return the plan for ``inputs``; groups that can go on keep their generation."""
 
 
 class FirstFit(PlacementPolicy):
     """The baseline: keep whole groups; give free VMs, in name order, to the most important."""
 
-    def place(self, facts: PlacementInput) -> Placement:
+    def place(self, inputs: PlacementInput) -> Placement:
         """See :class:`PlacementPolicy`."""
-        services = {service.name: service for service in model_services(facts.configuration)}
+        services = {service.name: service for service in model_services(inputs.configuration)}
         kept = {
-            domain: [group for group in old.groups if _can_go_on(group, services, facts)]
-            for domain, old in facts.plans.items()
+            domain: [group for group in old.groups if _can_go_on(group, services, inputs)]
+            for domain, old in inputs.plans.items()
         }
         kept = _without_surplus(kept, services)
-        free = free_vms(facts, kept)
-        generations = {domain: old.last_generation for domain, old in facts.plans.items()}
+        free = free_vms(inputs, kept)
+        generations = {domain: old.last_generation for domain, old in inputs.plans.items()}
         shortfalls = []
         for service in sorted(services.values(), key=lambda each: -each.importance):
             have = sum(
@@ -146,11 +146,11 @@
                     break
                 members = take(service, free[domain])
                 last = generations.get(domain, 0)
-                generations[domain] = max(last, facts.generation_floor) + 1
-                group = new_group(domain, generations[domain], service, members, facts)
+                generations[domain] = max(last, inputs.generation_floor) + 1
+                group = new_group(domain, generations[domain], service, members, inputs)
                 kept.setdefault(domain, []).append(group)
                 have += 1
-        return Placement(_changed_plans(facts, kept, generations), tuple(shortfalls))
+        return Placement(_changed_plans(inputs, kept, generations), tuple(shortfalls))
 
 
 def model_services(configuration: snapshot.Configuration) -> list[rules.Service]:
@@ -167,11 +167,11 @@
     generation: int,
     service: rules.Service,
     members: collections.abc.Sequence[inventory.Vm],
-    facts: PlacementInput,
+    inputs: PlacementInput,
 ) -> plan.Group:
     """Return a group with a name of its own."""
     names = tuple(vm.vm for vm in members)
-    boots = tuple(facts.reports[name].boot_id for name in names if name in facts.reports)
+    boots = tuple(inputs.reports[name].boot_id for name in names if name in inputs.reports)
     return plan.Group(
         group=f"{domain}/{generation}",
         generation=generation,
@@ -184,15 +184,15 @@
 
 
 def free_vms(
-    facts: PlacementInput,
+    inputs: PlacementInput,
     kept: collections.abc.Mapping[str, collections.abc.Sequence[plan.Group]],
 ) -> dict[str, list[inventory.Vm]]:
     """Return usable engine VMs outside any kept group, by fabric domain, in name order."""
     taken = {member for groups in kept.values() for group in groups for member in group.members}
     free: dict[str, list[inventory.Vm]] = collections.defaultdict(list)
-    for vm in facts.configuration.inventory.vms:
+    for vm in inputs.configuration.inventory.vms:
         engine = vm.kind is inventory.VmKind.ENGINE
-        if engine and vm.vm in facts.usable and vm.vm not in taken:
+        if engine and vm.vm in inputs.usable and vm.vm not in taken:
             free[vm.fabric_domain].append(vm)
     return free
 
@@ -207,15 +207,15 @@
 
 
 def _can_go_on(
-    group: plan.Group, services: collections.abc.Mapping[str, rules.Service], facts: PlacementInput
+    group: plan.Group, services: collections.abc.Mapping[str, rules.Service], inputs: PlacementInput
 ) -> bool:
     service = services.get(group.service)
     return (
         service is not None
         and len(group.members) == service.vms_per_replica
         and is_current(group, service)
-        and not facts.is_broken(group)
-        and not any(is_out(member, facts) for member in group.members)
+        and not inputs.is_broken(group)
+        and not any(is_out(member, inputs) for member in group.members)
     )
 
 
@@ -224,10 +224,10 @@
     return (group.model, group.version) in (("", ""), (service.model, service.version))
 
 
-def is_out(member: str, facts: PlacementInput) -> bool:
+def is_out(member: str, inputs: PlacementInput) -> bool:
     """Tell whether a VM is not in the inventory, or in an availability zone that is out."""
-    vm = facts.vms.get(member)
-    return vm is None or vm.availability_zone in facts.configuration.zones_out
+    vm = inputs.vms.get(member)
+    return vm is None or vm.availability_zone in inputs.configuration.zones_out
 
 
 def _without_surplus(
@@ -255,13 +255,13 @@
 
 
 def _changed_plans(
-    facts: PlacementInput,
+    inputs: PlacementInput,
     kept: collections.abc.Mapping[str, collections.abc.Sequence[plan.Group]],
     generations: collections.abc.Mapping[str, int],
 ) -> tuple[plan.DomainPlan, ...]:
     changed = []
     for domain, groups in kept.items():
-        old = facts.plans.get(domain) or plan.DomainPlan(domain)
+        old = inputs.plans.get(domain) or plan.DomainPlan(domain)
         if tuple(groups) != old.groups:
             last = generations.get(domain, old.last_generation)
             changed.append(attrs.evolve(old, groups=tuple(groups), last_generation=last))
--- a/toucanhold/planning/board.py
+++ b/toucanhold/planning/placement_state.py
@@ -14,7 +14,7 @@
 
 
 @attrs.define(eq=False)
-class Board:
+class PlacementState:
     """Groups and free VMs while a placement is being decided.
 
     :ivar groups: groups that go on, by fabric domain
@@ -25,7 +25,7 @@
     :ivar domains_by_zone: fabric domains by the availability zone of their first VM
     """
 
-    facts: placement.PlacementInput
+    inputs: placement.PlacementInput
     services: dict[str, rules.Service]
     groups: dict[str, list[plan.Group]] = attrs.field(factory=dict)
     parked: dict[str, list[plan.Group]] = attrs.field(factory=dict)
@@ -53,7 +53,7 @@
 
     def zone_of(self, group: plan.Group) -> str:
         """Return the availability zone of a group's first member."""
-        vm = self.facts.vms.get(group.members[0])
+        vm = self.inputs.vms.get(group.members[0])
         return vm.availability_zone if vm else ""
 
     def fitting(self, service: rules.Service, domain: str) -> list[inventory.Vm]:
@@ -63,12 +63,12 @@
 
     def has_weights(self, vm: inventory.Vm, service: rules.Service) -> bool:
         """Tell whether a VM holds the service's model already."""
-        report = self.facts.reports.get(vm.vm)
+        report = self.inputs.reports.get(vm.vm)
         return report is not None and holds(report, service)
 
     def is_busy(self, vm: inventory.Vm) -> bool:
         """Tell whether a VM has yet to finish requests or a load before it can join."""
-        report = self.facts.reports.get(vm.vm)
+        report = self.inputs.reports.get(vm.vm)
         if report is None or vm.vm in self.survivors:
             return False
         return report.loading or report.running + report.waiting > 0
@@ -83,7 +83,7 @@
         options.sort(
             key=lambda vm: (
                 self.is_busy(vm),
-                vm.vm in self.facts.unstable,
+                vm.vm in self.inputs.unstable,
                 vm.accelerators,
                 not self.has_weights(vm, service),
                 vm.vm,
@@ -96,10 +96,10 @@
         members = self.pick(service, domain)
         for vm in members:
             self.free[domain].remove(vm)
-        last = max(self._generations.get(domain, 0), self.facts.generation_floor)
+        last = max(self._generations.get(domain, 0), self.inputs.generation_floor)
         # The numbers up to the next group's are those of its substitutes, one for each member.
         self._generations[domain] = last + 1 + len(members)
-        group = placement.new_group(domain, last + 1, service, members, self.facts)
+        group = placement.new_group(domain, last + 1, service, members, self.inputs)
         self.add(domain, group)
         return group
 
@@ -111,13 +111,13 @@
 
     def end(self, group: plan.Group) -> None:
         """End a group; its usable members are free."""
-        domain = self.facts.vms[group.members[0]].fabric_domain
+        domain = self.inputs.vms[group.members[0]].fabric_domain
         self.groups[domain].remove(group)
         self._by_service[group.service].remove(group)
         self._zone_counts[group.service][self.zone_of(group)] -= 1
         for member in group.members:
-            if member in self.facts.usable:
-                self.free.setdefault(domain, []).append(self.facts.vms[member])
+            if member in self.inputs.usable:
+                self.free.setdefault(domain, []).append(self.inputs.vms[member])
 
     def assign_spares(self) -> None:
         """Record for each group which free VM may take a lost member's place, if there is one."""
@@ -127,11 +127,11 @@
             for index, group in enumerate(groups):
                 spare = self._spare_for(group, free)
                 free.pop(spare, None)
-                boot = self.facts.reports[spare].boot_id if spare else ""
+                boot = self.inputs.reports[spare].boot_id if spare else ""
                 groups[index] = attrs.evolve(group, spare=spare, spare_boot=boot)
 
     def _spare_for(self, group: plan.Group, free: dict[str, inventory.Vm]) -> str:
-        members = (self.facts.vms[member] for member in group.members)
+        members = (self.inputs.vms[member] for member in group.members)
         if any(vm.fencing is not inventory.Fencing.CHECKED for vm in members):
             return ""
         needed = self.services[group.service].accelerators_per_vm
@@ -141,15 +141,15 @@
         return suited[0].vm if suited else ""
 
     def _may_be_spare(self, vm: inventory.Vm) -> bool:
-        report = self.facts.reports.get(vm.vm)
+        report = self.inputs.reports.get(vm.vm)
         checked = vm.fencing is inventory.Fencing.CHECKED
         return checked and report is not None and report.group is None and not report.loading
 
     def changed_plans(self) -> tuple[plan.DomainPlan, ...]:
         """Return the plans that differ from the present ones."""
         changed = []
-        for domain in self.facts.plans.keys() | self.groups.keys():
-            old = self.facts.plans.get(domain) or plan.DomainPlan(domain)
+        for domain in self.inputs.plans.keys() | self.groups.keys():
+            old = self.inputs.plans.get(domain) or plan.DomainPlan(domain)
             kept = {group.generation_key: group for group in self.parked.get(domain, ())}
             kept |= {group.generation_key: group for group in self.groups.get(domain, ())}
             groups = [
@@ -164,33 +164,33 @@
         return tuple(sorted(changed, key=lambda each: each.domain))
 
 
-def from_facts(facts: placement.PlacementInput) -> Board:
+def from_inputs(inputs: placement.PlacementInput) -> PlacementState:
     """Return a board with every group that can go on."""
-    services = {each.name: each for each in placement.model_services(facts.configuration)}
-    zones = facts.configuration.rules.availability_zones
+    services = {each.name: each for each in placement.model_services(inputs.configuration)}
+    zones = inputs.configuration.rules.availability_zones
     drainable = frozenset(zone.name for zone in zones if zone.drainable)
-    board = Board(facts, services, drainable_zones=drainable)
-    for domain, old in facts.plans.items():
-        board._generations[domain] = old.last_generation
+    state = PlacementState(inputs, services, drainable_zones=drainable)
+    for domain, old in inputs.plans.items():
+        state._generations[domain] = old.last_generation
         for group in old.groups:
             service = services.get(group.service)
             if service is None or len(group.members) != service.vms_per_replica:
                 continue
-            substitute = facts.substitutes.get(group.generation_key)
-            if substitute is not None and not facts.is_broken(substitute):
-                formed = substitute.generation_key in facts.whole
-                board.add(domain, attrs.evolve(substitute, formed=formed))
+            substitute = inputs.substitutes.get(group.generation_key)
+            if substitute is not None and not inputs.is_broken(substitute):
+                formed = substitute.generation_key in inputs.whole
+                state.add(domain, attrs.evolve(substitute, formed=formed))
                 continue
-            if facts.is_broken(group):
-                board.survivors.update(group.members)
+            if inputs.is_broken(group):
+                state.survivors.update(group.members)
                 continue
-            if any(placement.is_out(member, facts) for member in group.members):
-                if placement.is_current(group, service) and _all_known(group, facts):
-                    board.parked.setdefault(domain, []).append(group)
+            if any(placement.is_out(member, inputs) for member in group.members):
+                if placement.is_current(group, service) and _all_known(group, inputs):
+                    state.parked.setdefault(domain, []).append(group)
                 continue
-            board.add(domain, group)
-    _list_free(board)
-    return board
+            state.add(domain, group)
+    _list_free(state)
+    return state
 
 
 def holds(report: client.Report, service: rules.Service) -> bool:
@@ -198,24 +198,24 @@
     return (report.model, report.version) == (service.model, service.version)
 
 
-def _all_known(group: plan.Group, facts: placement.PlacementInput) -> bool:
-    return all(member in facts.vms for member in group.members)
+def _all_known(group: plan.Group, inputs: placement.PlacementInput) -> bool:
+    return all(member in inputs.vms for member in group.members)
 
 
-def _list_free(board: Board) -> None:
+def _list_free(state: PlacementState) -> None:
     taken = {
         member
-        for by_domain in (board.groups, board.parked)
+        for by_domain in (state.groups, state.parked)
         for groups in by_domain.values()
         for group in groups
         for member in group.members
     }
     seen: set[str] = set()
-    for vm in board.facts.configuration.inventory.vms:
+    for vm in state.inputs.configuration.inventory.vms:
         if vm.kind is not inventory.VmKind.ENGINE:
             continue
         if vm.fabric_domain not in seen:
             seen.add(vm.fabric_domain)
-            board.domains_by_zone[vm.availability_zone].append(vm.fabric_domain)
-        if vm.vm in board.facts.usable and vm.vm not in taken:
-            board.free.setdefault(vm.fabric_domain, []).append(vm)
+            state.domains_by_zone[vm.availability_zone].append(vm.fabric_domain)
+        if vm.vm in state.inputs.usable and vm.vm not in taken:
+            state.free.setdefault(vm.fabric_domain, []).append(vm)
--- a/toucanhold/planning/planner.py
+++ b/toucanhold/planning/planner.py
@@ -11,7 +11,14 @@
 from toucanhold.configuration import holder
 from toucanhold.coordination import keyvalue, lease
 from toucanhold.observing import view
-from toucanhold.planning import facts, ordering, placement, substitution, terms, writing
+from toucanhold.planning import (
+    input_building,
+    order_scheduling,
+    placement,
+    substitution,
+    terms,
+    writing,
+)
 from toucanhold.plans import plan
 
 PLANNER_KEY = writing.PLANNER_KEY
@@ -43,24 +50,28 @@
     probe: terms.PredecessorProbe = attrs.field(factory=terms.NoProbe)
     process: str = attrs.field(factory=lambda: uuid.uuid4().hex)
     shortfalls: tuple[placement.Shortfall, ...] = ()
-    composer: facts.FactsComposer = attrs.field(init=False)
+    input_builder: input_building.PlacementInputBuilder = attrs.field(init=False)
     writer: writing.PlanWriter = attrs.field(init=False)
     term_log: terms.TermLog = attrs.field(init=False)
-    orders: ordering.Ordering = attrs.field(init=False)
+    orders: order_scheduling.OrderScheduler = attrs.field(init=False)
     spares: substitution.Substitution = attrs.field(init=False)
     _fencing: int = attrs.field(default=0, init=False)
     _sending: int = attrs.field(default=0, init=False)
 
     def __attrs_post_init__(self) -> None:
         """Build the parts."""
-        self.composer = facts.FactsComposer(self.configuration, self.plans, self.view)
+        self.input_builder = input_building.PlacementInputBuilder(
+            self.configuration, self.plans, self.view
+        )
         self.writer = writing.PlanWriter(self.plans, self.store, self.leadership)
         self.term_log = terms.TermLog(
             self.store, self.leadership, self.entry, self.process, self.peers_address, self.probe
         )
-        self.orders = ordering.Ordering(self.configuration, self.plans, self.view, self.term_log)
+        self.orders = order_scheduling.OrderScheduler(
+            self.configuration, self.plans, self.view, self.term_log
+        )
         self.spares = substitution.Substitution(
-            self.configuration, self.plans, self.composer, self.store, self.leadership
+            self.configuration, self.plans, self.input_builder, self.store, self.leadership
         )
 
     async def run(self) -> None:
@@ -70,14 +81,14 @@
             while True:
                 self._note_leadership()
                 self.view.keep_ended({group.group for group in self.plans.groups()})
-                substitution.adopt_whole(self.composer, self.plans)
+                substitution.adopt_complete_substitutes(self.input_builder, self.plans)
                 if self.configuration.current.number:
                     await self._act()
                 await trio.sleep(TICK_INTERVAL_S)
 
-    def facts(self) -> placement.PlacementInput:
+    def placement_input(self) -> placement.PlacementInput:
         """Return what a placement would rest on now."""
-        return self.composer.compose(self.leadership.fencing)
+        return self.input_builder.build(self.leadership.fencing)
 
     def renounce(self, fencing: int) -> None:
         """Act on the term ``fencing`` no more, unless its lease still runs."""
@@ -111,7 +122,7 @@
         fencing = self.leadership.fencing
         await self.term_log.begin()
         await self.writer.settle()
-        known = self.facts()
+        known = self.placement_input()
         decided = self.policy.place(known)
         self._note_shortfalls(decided.shortfalls)
         for domain_plan in decided.changed:
@@ -138,7 +149,7 @@
             if groups != old.groups and await self.writer.write(attrs.evolve(old, groups=groups)):
                 _log_formed(old, groups)
 
-    async def _send(self, due: ordering.DueOrder, fencing: int) -> None:
+    async def _send(self, due: order_scheduling.DueOrder, fencing: int) -> None:
         # A tick can take seconds when the store is slow, and a process can be paused anywhere. The
         # lease is looked at once more right before the order leaves, with time for it to arrive.
         remaining_s = self.leadership.remaining_s()
@@ -146,7 +157,7 @@
             return
         await self._deliver(due, min(ORDER_TIMEOUT_S, remaining_s))
 
-    async def _deliver(self, due: ordering.DueOrder, timeout_s: float) -> None:
+    async def _deliver(self, due: order_scheduling.DueOrder, timeout_s: float) -> None:
         vm, order = due.vm, due.order
         clear, taken = True, False
         self._sending += 1
--- a/toucanhold/planning/preview.py
+++ b/toucanhold/planning/preview.py
@@ -6,7 +6,7 @@
 import attrs
 
 from toucanhold.configuration import document, snapshot
-from toucanhold.planning import facts, placement
+from toucanhold.planning import input_building, placement
 
 
 @attrs.frozen
@@ -45,15 +45,15 @@
     """Previews changes from what this entry knows now."""
 
     policy: placement.PlacementPolicy
-    composer: facts.FactsComposer
+    input_builder: input_building.PlacementInputBuilder
 
     def without(self, zones: collections.abc.Collection[str]) -> Preview:
         """Preview taking availability zones out."""
-        return without_zones(self.policy, self.composer.compose(0), zones)
+        return without_zones(self.policy, self.input_builder.build(0), zones)
 
     def with_document(self, wanted: document.Document) -> Preview:
         """Preview applying a document; zones that are out stay out."""
-        known = self.composer.compose(0)
+        known = self.input_builder.build(0)
         changed = attrs.evolve(known.configuration, inventory=wanted.inventory, rules=wanted.rules)
         return with_configuration(self.policy, known, changed)
 
--- a/toucanhold/planning/substitution.py
+++ b/toucanhold/planning/substitution.py
@@ -8,7 +8,7 @@
 from toucanhold import events
 from toucanhold.configuration import holder, inventory
 from toucanhold.coordination import keyvalue, lease
-from toucanhold.planning import facts, writing
+from toucanhold.planning import input_building, writing
 from toucanhold.plans import plan
 
 SUBSTITUTE_AFTER_S = 10.0
@@ -31,7 +31,7 @@
 
     configuration: holder.ConfigurationHolder
     plans: plan.PlanHolder
-    composer: facts.FactsComposer
+    input_builder: input_building.PlacementInputBuilder
     store: keyvalue.KeyValueClient
     leadership: lease.LeasedKey
     last_term: int = attrs.field(default=0, init=False)
@@ -63,14 +63,14 @@
 
     def decide(self) -> set[str]:
         """Put substitutes in the place of broken groups; return the VMs that they consist of."""
-        known = self.composer.compose(0)
+        known = self.input_builder.build(0)
         for versioned in self.plans.domains():
             for group in versioned.plan.groups:
                 lost = [vm for vm in group.members if known.has_left(vm, group)]
                 if len(lost) == 1 and self._all_check(group, lost[0]):
-                    if self.plans.overlay(group, plan.substitute(group, lost[0])):
+                    if self.plans.set_substitute(group, plan.substitute(group, lost[0])):
                         _log(group, lost[0])
-        return {vm for group in self.plans.overlaid() for vm in group.members}
+        return {vm for group in self.plans.substitutes() for vm in group.members}
 
     def _all_check(self, group: plan.Group, lost: str) -> bool:
         vms = self.configuration.current.inventory.by_name()
@@ -80,19 +80,21 @@
         )
 
 
-def adopt_whole(composer: facts.FactsComposer, plans: plan.PlanHolder) -> None:
+def adopt_complete_substitutes(
+    input_builder: input_building.PlacementInputBuilder, plans: plan.PlanHolder
+) -> None:
     """Route to each substitute whose members all report it."""
     now_s = trio.current_time()
     for versioned in plans.domains():
         for group in versioned.plan.groups:
-            if not group.spare or plans.overlay_of(group) is not None:
+            if not group.spare or plans.substitute_of(group) is not None:
                 continue
-            if composer.is_whole(group, now_s):
+            if input_builder.is_complete(group, now_s):
                 continue
             for member in group.members:
                 substitute = plan.substitute(group, member)
-                if composer.is_whole(substitute, now_s):
-                    plans.overlay(group, substitute)
+                if input_builder.is_complete(substitute, now_s):
+                    plans.set_substitute(group, substitute)
 
 
 def _log(group: plan.Group, lost: str) -> None:
--- a/toucanhold/plans/plan.py
+++ b/toucanhold/plans/plan.py
@@ -108,7 +108,7 @@
 
     change_count: int = attrs.field(default=0, init=False)
     _domains: dict[str, VersionedDomainPlan] = attrs.field(factory=dict)
-    _overlays: dict[tuple[str, int], Group] = attrs.field(factory=dict)
+    _substitutes: dict[tuple[str, int], Group] = attrs.field(factory=dict)
     _former: dict[tuple[str, int], Group] = attrs.field(factory=dict)
     _changed: trio.Event = attrs.field(factory=trio.Event)
 
@@ -124,31 +124,31 @@
         """Yield every group."""
         for versioned in self._domains.values():
             for group in versioned.plan.groups:
-                yield self._overlays.get(group.generation_key, group)
+                yield self._substitutes.get(group.generation_key, group)
 
     def group_of(self, vm: str, domain: str) -> Group | None:
         """Return the group that a VM of ``domain`` is to be in, substitutes considered."""
         groups = (
-            self._overlays.get(group.generation_key, group)
+            self._substitutes.get(group.generation_key, group)
             for group in self.domain(domain).plan.groups
         )
         return next((group for group in groups if vm in group.members), None)
 
-    def overlay(self, group: Group, substitute: Group) -> bool:
+    def set_substitute(self, group: Group, substitute: Group) -> bool:
         """Let ``substitute`` stand for a group until its record changes; false if one does."""
-        if group.generation_key in self._overlays:
+        if group.generation_key in self._substitutes:
             return False
-        self._overlays[group.generation_key] = substitute
+        self._substitutes[group.generation_key] = substitute
         self._signal()
         return True
 
-    def overlay_of(self, group: Group) -> Group | None:
+    def substitute_of(self, group: Group) -> Group | None:
         """Return what stands for a group."""
-        return self._overlays.get(group.generation_key)
+        return self._substitutes.get(group.generation_key)
 
-    def overlaid(self) -> tuple[Group, ...]:
+    def substitutes(self) -> tuple[Group, ...]:
         """Return all substitutes."""
-        return tuple(self._overlays.values())
+        return tuple(self._substitutes.values())
 
     def former(self, generation_key: tuple[str, int]) -> Group | None:
         """Return a group that was planned until lately."""
@@ -184,7 +184,7 @@
         for group in old.groups:
             if group.generation_key not in planned:
                 self._former[group.generation_key] = group
-                self._overlays.pop(group.generation_key, None)
+                self._substitutes.pop(group.generation_key, None)
         while len(self._former) > FORMER_GROUPS_KEPT:
             del self._former[next(iter(self._former))]
 
