--- a/toucanhold/planning/__init__.py
+++ b/toucanhold/planning/__init__.py
@@ -1,1 +1,1 @@
-"""Which VMs form which groups, decided by the one entry that holds the planner lease."""
+"""Group planning: the entry that holds the planner lease assigns VMs to groups."""
--- a/toucanhold/planning/placement_state.py
+++ b/toucanhold/planning/placement_state.py
@@ -1,4 +1,4 @@
-"""The working state of a placement: which groups go on, which VMs are free."""
+"""The working state of a placement decision: the groups that continue and the free VMs."""
 
 from __future__ import annotations
 
@@ -17,20 +17,23 @@
 class PlacementState:
     """Groups and free VMs while a placement is being decided.
 
-    :ivar groups: groups that go on, by fabric domain
-    :ivar parked: groups in availability zones that are out: kept, but not counted as serving
+    :ivar inputs: the inputs of the decision
+    :ivar services: model services by name
+    :ivar groups: groups that continue, by fabric domain
+    :ivar suspended: groups in availability zones that are out, by fabric domain; they are kept but
+        do not count as replicas
     :ivar free: usable VMs outside any group, by fabric domain
-    :ivar survivors: members of groups that lost a member; they leave at once
-    :ivar drainable_zones: availability zones that operators may take out on a hot day
+    :ivar survivors: members of groups that lost a member; they leave without finishing requests
+    :ivar drainable_zones: availability zones that operators may take out, as on a hot day
     :ivar domains_by_zone: fabric domains by the availability zone of their first VM
     """
 
     inputs: placement.PlacementInput
     services: dict[str, rules.Service]
     groups: dict[str, list[plan.Group]] = attrs.field(factory=dict)
-    parked: dict[str, list[plan.Group]] = attrs.field(factory=dict)
+    suspended: dict[str, list[plan.Group]] = attrs.field(factory=dict)
     free: dict[str, list[inventory.Vm]] = attrs.field(factory=dict)
-    _generations: dict[str, int] = attrs.field(factory=dict)
+    _last_generations: dict[str, int] = attrs.field(factory=dict)
     _by_service: dict[str, list[plan.Group]] = attrs.field(
         factory=lambda: collections.defaultdict(list)
     )
@@ -43,8 +46,8 @@
         factory=lambda: collections.defaultdict(list)
     )
 
-    def active(self, service: str) -> list[plan.Group]:
-        """Return a service's groups, without parked ones."""
+    def active_groups(self, service: str) -> list[plan.Group]:
+        """Return a service's groups, without suspended ones."""
         return self._by_service[service]
 
     def count_in_zone(self, service: str, zone: str) -> int:
@@ -56,33 +59,33 @@
         vm = self.inputs.vms.get(group.members[0])
         return vm.availability_zone if vm else ""
 
-    def fitting(self, service: rules.Service, domain: str) -> list[inventory.Vm]:
-        """Return a domain's free VMs that suit a service."""
+    def fitting_vms(self, service: rules.Service, domain: str) -> list[inventory.Vm]:
+        """Return a domain's free VMs that have enough accelerators for a service."""
         needed = service.accelerators_per_vm
         return [vm for vm in self.free.get(domain, ()) if vm.accelerators >= needed]
 
     def has_weights(self, vm: inventory.Vm, service: rules.Service) -> bool:
-        """Tell whether a VM holds the service's model already."""
+        """Return whether a VM has loaded the service's model and version already."""
         report = self.inputs.reports.get(vm.vm)
-        return report is not None and holds(report, service)
+        return report is not None and has_model(report, service)
 
-    def is_busy(self, vm: inventory.Vm) -> bool:
-        """Tell whether a VM has yet to finish requests or a load before it can join."""
+    def has_work_in_progress(self, vm: inventory.Vm) -> bool:
+        """Return whether a VM must finish requests or a model load before it can join a group."""
         report = self.inputs.reports.get(vm.vm)
         if report is None or vm.vm in self.survivors:
             return False
         return report.loading or report.running + report.waiting > 0
 
-    def pick(self, service: rules.Service, domain: str) -> list[inventory.Vm]:
-        """Return the VMs that a new group in ``domain`` would get; empty where it has no room."""
-        options = self.fitting(service, domain)
+    def pick_members(self, service: rules.Service, domain: str) -> list[inventory.Vm]:
+        """Return the members of a new group in ``domain``; empty if too few free VMs fit."""
+        options = self.fitting_vms(service, domain)
         if len(options) < service.vms_per_replica:
             return []
-        # The smallest that suffice, so that VMs with many accelerators stay for those who need
-        # them; among equals those that hold the model already.
+        # Prefer the smallest VMs that suffice, so that VMs with many accelerators stay free for
+        # the services that need them; among equal VMs prefer those that have loaded the model.
         options.sort(
             key=lambda vm: (
-                self.is_busy(vm),
+                self.has_work_in_progress(vm),
                 vm.vm in self.inputs.unstable,
                 vm.accelerators,
                 not self.has_weights(vm, service),
@@ -91,26 +94,27 @@
         )
         return options[: service.vms_per_replica]
 
-    def form(self, service: rules.Service, domain: str) -> plan.Group:
-        """Add a group of ``service``; the domain must have room."""
-        members = self.pick(service, domain)
+    def form_group(self, service: rules.Service, domain: str) -> plan.Group:
+        """Form and return a group of ``service``; the domain must have enough fitting free VMs."""
+        members = self.pick_members(service, domain)
         for vm in members:
             self.free[domain].remove(vm)
-        last = max(self._generations.get(domain, 0), self.inputs.generation_floor)
-        # The numbers up to the next group's are those of its substitutes, one for each member.
-        self._generations[domain] = last + 1 + len(members)
+        last = max(self._last_generations.get(domain, 0), self.inputs.generation_floor)
+        # One more generation number is reserved per member, for the group in which the spare
+        # replaces that member.
+        self._last_generations[domain] = last + 1 + len(members)
         group = placement.new_group(domain, last + 1, service, members, self.inputs)
-        self.add(domain, group)
+        self.add_group(domain, group)
         return group
 
-    def add(self, domain: str, group: plan.Group) -> None:
-        """Keep a group."""
+    def add_group(self, domain: str, group: plan.Group) -> None:
+        """Add a group to those that continue."""
         self.groups.setdefault(domain, []).append(group)
         self._by_service[group.service].append(group)
         self._zone_counts[group.service][self.zone_of(group)] += 1
 
-    def end(self, group: plan.Group) -> None:
-        """End a group; its usable members are free."""
+    def end_group(self, group: plan.Group) -> None:
+        """End a group and free its usable members."""
         domain = self.inputs.vms[group.members[0]].fabric_domain
         self.groups[domain].remove(group)
         self._by_service[group.service].remove(group)
@@ -120,7 +124,10 @@
                 self.free.setdefault(domain, []).append(self.inputs.vms[member])
 
     def assign_spares(self) -> None:
-        """Record for each group which free VM may take a lost member's place, if there is one."""
+        """Record for each group the free VM that may replace a lost member, if there is one.
+
+        More important services come first; a VM is the spare of at most one group.
+        """
         for domain, groups in self.groups.items():
             free = {vm.vm: vm for vm in self.free.get(domain, ()) if self._may_be_spare(vm)}
             groups.sort(key=lambda group: -self.services[group.service].importance)
@@ -135,22 +142,22 @@
         if any(vm.fencing is not inventory.Fencing.CHECKED for vm in members):
             return ""
         needed = self.services[group.service].accelerators_per_vm
-        suited = [vm for vm in free.values() if vm.accelerators >= needed]
-        # The recorded spare stays while it can: another would cost a write.
-        suited.sort(key=lambda vm: (vm.vm != group.spare, vm.accelerators, vm.vm))
-        return suited[0].vm if suited else ""
+        suitable = [vm for vm in free.values() if vm.accelerators >= needed]
+        # The recorded spare is kept while it is suitable, because a change costs a plan write.
+        suitable.sort(key=lambda vm: (vm.vm != group.spare, vm.accelerators, vm.vm))
+        return suitable[0].vm if suitable else ""
 
     def _may_be_spare(self, vm: inventory.Vm) -> bool:
         report = self.inputs.reports.get(vm.vm)
-        checked = vm.fencing is inventory.Fencing.CHECKED
-        return checked and report is not None and report.group is None and not report.loading
+        checks_fencing = vm.fencing is inventory.Fencing.CHECKED
+        return checks_fencing and report is not None and report.group is None and not report.loading
 
     def changed_plans(self) -> tuple[plan.DomainPlan, ...]:
-        """Return the plans that differ from the present ones."""
+        """Return the domain plans that differ from the current ones, sorted by domain."""
         changed = []
         for domain in self.inputs.plans.keys() | self.groups.keys():
             old = self.inputs.plans.get(domain) or plan.DomainPlan(domain)
-            kept = {group.generation_key: group for group in self.parked.get(domain, ())}
+            kept = {group.generation_key: group for group in self.suspended.get(domain, ())}
             kept |= {group.generation_key: group for group in self.groups.get(domain, ())}
             groups = [
                 kept.pop(group.generation_key)
@@ -159,19 +166,19 @@
             ]
             groups += kept.values()
             if tuple(groups) != old.groups:
-                last = max(self._generations.get(domain, 0), old.last_generation)
+                last = max(self._last_generations.get(domain, 0), old.last_generation)
                 changed.append(attrs.evolve(old, groups=tuple(groups), last_generation=last))
         return tuple(sorted(changed, key=lambda each: each.domain))
 
 
 def from_inputs(inputs: placement.PlacementInput) -> PlacementState:
-    """Return a board with every group that can go on."""
+    """Return the state that has every group that can continue and the remaining free VMs."""
     services = {each.name: each for each in placement.model_services(inputs.configuration)}
     zones = inputs.configuration.rules.availability_zones
     drainable = frozenset(zone.name for zone in zones if zone.drainable)
     state = PlacementState(inputs, services, drainable_zones=drainable)
     for domain, old in inputs.plans.items():
-        state._generations[domain] = old.last_generation
+        state._last_generations[domain] = old.last_generation
         for group in old.groups:
             service = services.get(group.service)
             if service is None or len(group.members) != service.vms_per_replica:
@@ -179,43 +186,43 @@
             substitute = inputs.substitutes.get(group.generation_key)
             if substitute is not None and not inputs.is_broken(substitute):
                 formed = substitute.generation_key in inputs.whole
-                state.add(domain, attrs.evolve(substitute, formed=formed))
+                state.add_group(domain, attrs.evolve(substitute, formed=formed))
                 continue
             if inputs.is_broken(group):
                 state.survivors.update(group.members)
                 continue
             if any(placement.is_out(member, inputs) for member in group.members):
-                if placement.is_current(group, service) and _all_known(group, inputs):
-                    state.parked.setdefault(domain, []).append(group)
+                if placement.is_current(group, service) and _all_in_inventory(group, inputs):
+                    state.suspended.setdefault(domain, []).append(group)
                 continue
-            state.add(domain, group)
-    _list_free(state)
+            state.add_group(domain, group)
+    _collect_free_vms(state)
     return state
 
 
-def holds(report: client.Report, service: rules.Service) -> bool:
-    """Tell whether an engine has a service's model and version."""
+def has_model(report: client.Report, service: rules.Service) -> bool:
+    """Return whether an engine reports a service's model and version as loaded."""
     return (report.model, report.version) == (service.model, service.version)
 
 
-def _all_known(group: plan.Group, inputs: placement.PlacementInput) -> bool:
+def _all_in_inventory(group: plan.Group, inputs: placement.PlacementInput) -> bool:
     return all(member in inputs.vms for member in group.members)
 
 
-def _list_free(state: PlacementState) -> None:
-    taken = {
+def _collect_free_vms(state: PlacementState) -> None:
+    occupied = {
         member
-        for by_domain in (state.groups, state.parked)
+        for by_domain in (state.groups, state.suspended)
         for groups in by_domain.values()
         for group in groups
         for member in group.members
     }
-    seen: set[str] = set()
+    listed_domains: set[str] = set()
     for vm in state.inputs.configuration.inventory.vms:
         if vm.kind is not inventory.VmKind.ENGINE:
             continue
-        if vm.fabric_domain not in seen:
-            seen.add(vm.fabric_domain)
+        if vm.fabric_domain not in listed_domains:
+            listed_domains.add(vm.fabric_domain)
             state.domains_by_zone[vm.availability_zone].append(vm.fabric_domain)
-        if vm.vm in state.inputs.usable and vm.vm not in taken:
+        if vm.vm in state.inputs.usable and vm.vm not in occupied:
             state.free.setdefault(vm.fabric_domain, []).append(vm)
--- a/toucanhold/planning/spreading.py
+++ b/toucanhold/planning/spreading.py
@@ -1,4 +1,4 @@
-"""The chosen placement: replicas spread over availability zones, few moves, useful spares."""
+"""Placement policy that spreads replicas over availability zones with few moves."""
 
 import collections
 import collections.abc
@@ -17,11 +17,11 @@
 
 @attrs.frozen
 class Strategy:
-    """How free VMs are given out.
+    """Options by which free VMs are assigned to services.
 
-    :ivar leave_spares: rather leave a spare VM in each fabric domain than fill one up
-    :ivar large_first: among services of equal importance, those with the largest groups first
-    :ivar end_cold: end a group that is not needed even while the others are cold
+    :ivar leave_spares: prefer fabric domains that keep a spare VM over filling a domain completely
+    :ivar large_first: among services of equal importance, place those with the largest groups first
+    :ivar end_cold: end surplus groups even while the remaining ones are cold
     """
 
     leave_spares: bool = False
@@ -38,61 +38,65 @@
 
 @attrs.frozen
 class Outcome:
-    """A decided board and what falls short on it."""
+    """The placement state that a strategy reached, and the services left short of replicas."""
 
     state: placement_state.PlacementState
     shortfalls: tuple[placement.Shortfall, ...]
 
-    def value(self) -> tuple:
-        """Return what to compare outcomes by: replicas, those of important services first."""
+    def ranking(self) -> tuple:
+        """Return a sort key: VMs of placed replicas by importance, the most important first.
+
+        The greater key is the better outcome.
+        """
         placed: collections.Counter[int] = collections.Counter()
         for service in self.state.services.values():
-            have = min(service.replicas, len(self.state.active(service.name)))
+            have = min(service.replicas, len(self.state.active_groups(service.name)))
             placed[service.importance] += have * service.vms_per_replica
-        return tuple(placed[level] for level in sorted(placed, reverse=True))
+        return tuple(placed[importance] for importance in sorted(placed, reverse=True))
 
 
 @attrs.frozen
 class Spreading(placement.PlacementPolicy):
-    """Serves services by importance, each spread over availability zones.
+    """Places services in order of importance, each spread over availability zones.
 
-    Healthy groups stay, but for four reasons: a service has more than it wants; a more important
-    service cannot be served otherwise; the model has a new version; or a service stands in too
-    few availability zones. In the last two a new group serves before the old one ends.
+    A healthy group ends for four reasons only: its service has more groups than wanted; a more
+    important service cannot be placed otherwise; the model has a new version; or the service is
+    concentrated in too few availability zones. In the last two cases a new group serves before the
+    old one ends, provided that there is room for both.
 
-    :ivar record_spares: name a free VM for each group that may take a lost member's place while
-        the key-value service is out
+    :ivar record_spares: record for each group a free VM that may replace a lost member while the
+        key-value service is unavailable
     """
 
     record_spares: bool = True
 
     def place(self, inputs: placement.PlacementInput) -> placement.Placement:
         """See :class:`placement.PlacementPolicy`."""
-        best = self._outcome(inputs, STRATEGIES[0])
+        best = self._decide(inputs, STRATEGIES[0])
         for strategy in STRATEGIES[1:] if best.shortfalls else ():
-            other = self._outcome(inputs, strategy)
-            if other.value() > best.value():
+            other = self._decide(inputs, strategy)
+            if other.ranking() > best.ranking():
                 best = other
         if not best.shortfalls:
-            _improve(best.state)
+            _upgrade_or_rebalance(best.state)
         else:
-            _roll(best.state)
+            _start_version_upgrades(best.state)
         if self.record_spares:
             best.state.assign_spares()
         return placement.Placement(best.state.changed_plans(), best.shortfalls)
 
-    def _outcome(self, inputs: placement.PlacementInput, strategy: Strategy) -> Outcome:
+    def _decide(self, inputs: placement.PlacementInput, strategy: Strategy) -> Outcome:
         state = placement_state.from_inputs(inputs)
         for service in state.services.values():
-            _trim(state, service, strategy)
-        return Outcome(state, tuple(_fill(state, strategy)))
+            _end_surplus(state, service, strategy)
+        return Outcome(state, tuple(_place_missing(state, strategy)))
 
 
 def zone_cost(state: placement_state.PlacementState, service: rules.Service, zone: str) -> float:
-    """Return how crowded an availability zone is for a service.
+    """Return the cost of placing a service's next group in an availability zone, in groups.
 
-    One that may be drained counts as half a group fuller: a service with a single replica stands
-    in a zone that stays, where there is one.
+    A drainable zone costs half a group more, so that a service with a single replica is placed in a
+    zone that cannot be drained, where there is one.
     """
     drainable = zone in state.drainable_zones
     return state.count_in_zone(service.name, zone) + (DRAINABLE_COST if drainable else 0)
@@ -105,7 +109,7 @@
     for zone in _zones_by_cost(state, service):
         options = []
         for domain in state.domains_by_zone[zone]:
-            members = state.pick(service, domain)
+            members = state.pick_members(service, domain)
             if members:
                 options.append((_domain_cost(state, service, domain, members, strategy), domain))
         if options:
@@ -124,42 +128,44 @@
     members: list,
     strategy: Strategy,
 ) -> tuple:
-    busy = sum(map(state.is_busy, members))
-    loads = sum(not state.has_weights(vm, service) for vm in members)
-    left = len(state.free[domain]) - len(members)
-    # A group whose domain has a spare VM is whole again after one load when it loses a member;
-    # without one its other members stand idle.
-    no_spare = left == 0 if strategy.leave_spares else left
-    return (busy, loads, no_spare, left)
+    busy_count = sum(map(state.has_work_in_progress, members))
+    load_count = sum(not state.has_weights(vm, service) for vm in members)
+    remaining_free = len(state.free[domain]) - len(members)
+    # If a group loses a member, a spare VM in its domain completes it again after a single model
+    # load. Without a spare the other members stay idle.
+    no_spare = remaining_free == 0 if strategy.leave_spares else remaining_free
+    return (busy_count, load_count, no_spare, remaining_free)
 
 
-def _fill(
+def _place_missing(
     state: placement_state.PlacementState, strategy: Strategy
 ) -> collections.abc.Iterator[placement.Shortfall]:
-    levels = collections.defaultdict(list)
+    services_by_importance = collections.defaultdict(list)
     for service in state.services.values():
-        levels[service.importance].append(service)
-    for level in sorted(levels, reverse=True):
-        short = [each for each in levels[level] if _missing(state, each) > 0]
-        while short:
-            service = min(short, key=lambda each: _turn(state, each, strategy))
+        services_by_importance[service.importance].append(service)
+    for importance in sorted(services_by_importance, reverse=True):
+        remaining = [
+            each for each in services_by_importance[importance] if _missing_count(state, each) > 0
+        ]
+        while remaining:
+            service = min(remaining, key=lambda each: _fill_priority(state, each, strategy))
             if not _add_group(state, service, strategy):
-                short.remove(service)
-                have = len(state.active(service.name))
+                remaining.remove(service)
+                have = len(state.active_groups(service.name))
                 yield placement.Shortfall(service.name, service.replicas, have)
-            elif _missing(state, service) <= 0:
-                short.remove(service)
+            elif _missing_count(state, service) <= 0:
+                remaining.remove(service)
 
 
-def _missing(state: placement_state.PlacementState, service: rules.Service) -> int:
-    return service.replicas - len(state.active(service.name))
+def _missing_count(state: placement_state.PlacementState, service: rules.Service) -> int:
+    return service.replicas - len(state.active_groups(service.name))
 
 
-def _turn(
+def _fill_priority(
     state: placement_state.PlacementState, service: rules.Service, strategy: Strategy
 ) -> tuple:
     size = -service.vms_per_replica if strategy.large_first else 0
-    return (size, len(state.active(service.name)) / service.replicas, service.name)
+    return (size, len(state.active_groups(service.name)) / service.replicas, service.name)
 
 
 def _add_group(
@@ -167,61 +173,70 @@
 ) -> bool:
     domain = best_domain(state, service, strategy)
     if domain is None:
-        victims = _victims(state, service)
+        victims = _preemption_victims(state, service)
         if not victims:
             return False
         for group in victims:
-            state.end(group)
+            state.end_group(group)
         domain = state.inputs.vms[victims[0].members[0]].fabric_domain
-    state.form(service, domain)
+    state.form_group(service, domain)
     return True
 
 
-def _victims(state: placement_state.PlacementState, service: rules.Service) -> list[plan.Group]:
-    """Return groups of less important services to end for ``service``; empty if none suffice."""
+def _preemption_victims(
+    state: placement_state.PlacementState, service: rules.Service
+) -> list[plan.Group]:
+    """Return the cheapest set of less important groups whose end makes room for ``service``.
+
+    Empty if no set in a single fabric domain frees enough VMs.
+    """
     options = []
     for domain in state.groups:
-        victims = _victims_in(state, service, domain)
+        victims = _victims_in_domain(state, service, domain)
         if victims:
             zone = state.zone_of(victims[0])
             highest = max(state.services[group.service].importance for group in victims)
-            ended = sum(len(group.members) for group in victims)
-            held = sum(state.has_weights(vm, service) for vm in state.fitting(service, domain))
-            cost = (highest, ended, -held, zone_cost(state, service, zone), domain)
+            ended_vms = sum(len(group.members) for group in victims)
+            vms_with_weights = sum(
+                state.has_weights(vm, service) for vm in state.fitting_vms(service, domain)
+            )
+            cost = (highest, ended_vms, -vms_with_weights, zone_cost(state, service, zone), domain)
             options.append((cost, victims))
     return min(options, key=lambda option: option[0])[1] if options else []
 
 
-def _victims_in(
+def _victims_in_domain(
     state: placement_state.PlacementState, service: rules.Service, domain: str
 ) -> list[plan.Group]:
-    needed = service.vms_per_replica - len(state.fitting(service, domain))
-    lesser = [
+    needed = service.vms_per_replica - len(state.fitting_vms(service, domain))
+    less_important = [
         group
         for group in state.groups[domain]
         if state.services[group.service].importance < service.importance
     ]
-    # A service's last replica goes last.
-    lesser.sort(
+    # Groups of the service with the most replicas come first, so that a last replica is spared.
+    less_important.sort(
         key=lambda group: (
             state.services[group.service].importance,
-            -len(state.active(group.service)),
+            -len(state.active_groups(group.service)),
             group.formed,
             group.generation_key,
         )
     )
     victims = []
-    for group in lesser:
+    for group in less_important:
         if needed <= 0:
             break
-        gain = _gain(state, service, group)
-        if gain:
+        freed = _usable_member_count(state, service, group)
+        if freed:
             victims.append(group)
-            needed -= gain
+            needed -= freed
     return victims if needed <= 0 else []
 
 
-def _gain(state: placement_state.PlacementState, service: rules.Service, group: plan.Group) -> int:
+def _usable_member_count(
+    state: placement_state.PlacementState, service: rules.Service, group: plan.Group
+) -> int:
     return sum(
         member in state.inputs.usable
         and state.inputs.vms[member].accelerators >= service.accelerators_per_vm
@@ -229,36 +244,37 @@
     )
 
 
-def _trim(
+def _end_surplus(
     state: placement_state.PlacementState, service: rules.Service, strategy: Strategy
 ) -> None:
-    """End groups that a service does not need."""
-    _trim_formed(state, service, strategy)
-    formed = [group for group in state.active(service.name) if group.formed]
-    forming = [group for group in state.active(service.name) if not group.formed]
+    """End a service's surplus groups."""
+    _end_formed_surplus(state, service, strategy)
+    formed = [group for group in state.active_groups(service.name) if group.formed]
+    forming = [group for group in state.active_groups(service.name) if not group.formed]
     forming.sort(key=lambda group: (not placement.is_current(group, service), group.generation_key))
     room = max(0, service.replicas - len(formed))
     for group in forming[:room]:
         if not placement.is_current(group, service):
-            state.end(group)
+            state.end_group(group)
     for index, group in enumerate(forming[room:]):
-        if index > 0 or not _is_useful_move(state, service, group):
-            state.end(group)
+        if index > 0 or not _is_useful_replacement(state, service, group):
+            state.end_group(group)
 
 
-def _trim_formed(
+def _end_formed_surplus(
     state: placement_state.PlacementState, service: rules.Service, strategy: Strategy
 ) -> None:
-    formed = [group for group in state.active(service.name) if group.formed]
-    # Cold groups bear only a little load. The ones that they replace go when they are warm.
+    formed = [group for group in state.active_groups(service.name) if group.formed]
+    # Cold groups can take only little load, so the groups that they replace stay until they are
+    # warm.
     counted = [group for group in formed if strategy.end_cold or not _is_cold(state, group)]
     for _ in range(min(len(counted) - service.replicas, len(formed) - service.replicas)):
-        group = max(formed, key=lambda each: _expendability(state, service, each))
+        group = max(formed, key=lambda each: _end_priority(state, service, each))
         formed.remove(group)
-        state.end(group)
+        state.end_group(group)
 
 
-def _expendability(
+def _end_priority(
     state: placement_state.PlacementState, service: rules.Service, group: plan.Group
 ) -> tuple:
     outdated = not placement.is_current(group, service)
@@ -271,29 +287,29 @@
     return report is not None and report.warmth is client.Warmth.COLD
 
 
-def _is_useful_move(
+def _is_useful_replacement(
     state: placement_state.PlacementState, service: rules.Service, group: plan.Group
 ) -> bool:
-    formed = [each for each in state.active(service.name) if each.formed]
+    formed = [each for each in state.active_groups(service.name) if each.formed]
     if any(not placement.is_current(each, service) for each in formed):
         return placement.is_current(group, service)
     crowded = max((zone_cost(state, service, state.zone_of(each)) for each in formed), default=0)
-    # The group itself counts in its zone already.
+    # The zone's cost already includes the group itself, so it is subtracted.
     return crowded - (zone_cost(state, service, state.zone_of(group)) - 1) > REBALANCE_GAIN
 
 
-def _improve(state: placement_state.PlacementState) -> None:
-    if _roll(state) or state.inputs.settled_s < REBALANCE_AFTER_S:
+def _upgrade_or_rebalance(state: placement_state.PlacementState) -> None:
+    if _start_version_upgrades(state) or state.inputs.settled_s < REBALANCE_AFTER_S:
         return
     if any(not group.formed for groups in state.groups.values() for group in groups):
         return
     for service in sorted(state.services.values(), key=lambda each: -each.importance):
-        if _begin_move(state, service):
+        if _start_rebalancing(state, service):
             return
 
 
-def _begin_move(state: placement_state.PlacementState, service: rules.Service) -> bool:
-    active = state.active(service.name)
+def _start_rebalancing(state: placement_state.PlacementState, service: rules.Service) -> bool:
+    active = state.active_groups(service.name)
     if len(active) < 2 or len(active) > service.replicas:
         return False
     crowded = max(zone_cost(state, service, state.zone_of(group)) for group in active)
@@ -303,15 +319,18 @@
     zone = state.free[domain][0].availability_zone
     if crowded - zone_cost(state, service, zone) <= REBALANCE_GAIN:
         return False
-    state.form(service, domain)
+    state.form_group(service, domain)
     return True
 
 
-def _roll(state: placement_state.PlacementState) -> bool:
-    """Begin to replace groups with an old version, one of each service at a time."""
-    rolled = False
+def _start_version_upgrades(state: placement_state.PlacementState) -> bool:
+    """Start to replace outdated groups, at most one of each service at a time.
+
+    :return: whether any service is being upgraded
+    """
+    is_upgrading = False
     for service in sorted(state.services.values(), key=lambda each: -each.importance):
-        active = state.active(service.name)
+        active = state.active_groups(service.name)
         outdated = [group for group in active if not placement.is_current(group, service)]
         if not outdated or any(not group.formed for group in active):
             continue
@@ -319,10 +338,10 @@
             continue
         domain = best_domain(state, service, STRATEGIES[0])
         if domain is None:
-            group = max(outdated, key=lambda each: _expendability(state, service, each))
+            group = max(outdated, key=lambda each: _end_priority(state, service, each))
             domain = state.inputs.vms[group.members[0]].fabric_domain
-            state.end(group)
-        if state.pick(service, domain):
-            state.form(service, domain)
-        rolled = True
-    return rolled
+            state.end_group(group)
+        if state.pick_members(service, domain):
+            state.form_group(service, domain)
+        is_upgrading = True
+    return is_upgrading
