--- a/toucanhold/planning/input_building.py
+++ b/toucanhold/planning/input_building.py
@@ -1,4 +1,4 @@
-"""Gathers the facts that a placement rests on."""
+"""Collects the inputs of a placement decision."""
 
 import attrs
 import trio
@@ -9,32 +9,35 @@
 from toucanhold.plans import plan
 
 GENERATIONS_PER_TERM = 1 << 16
-UNSTABLE_S = 60.0
+UNSTABLE_AFTER_RESTART_S = 60.0
 
 
 @attrs.define(eq=False)
 class PlacementInputBuilder:
-    """Reads configuration, plan and view; remembers since when the same VMs are usable."""
+    """Builds placement inputs from configuration, plan and observations.
+
+    It also tracks since when the set of usable VMs has been unchanged.
+    """
 
     configuration: holder.ConfigurationHolder
     plans: plan.PlanHolder
     view: view.View
-    _usable: frozenset[str] = attrs.field(default=frozenset(), init=False)
+    _usable_vms: frozenset[str] = attrs.field(default=frozenset(), init=False)
     _usable_since_s: float = attrs.field(default=float("-inf"), init=False)
 
     def build(self, fencing: int) -> placement.PlacementInput:
-        """Return the facts now.
+        """Return the current inputs.
 
-        :param fencing: the planner's fencing number
+        :param fencing: the planner's fencing number; 0 where no plan is written from the result
         """
         now_s = trio.current_time()
         vms = self.configuration.current.inventory.vms
         plans = {each.plan.domain: each.plan for each in self.plans.domains()}
-        seen = {vm.vm: self.view.observation(vm.vm) for vm in vms}
-        reports = {name: each.report for name, each in seen.items() if each is not None}
+        observations = {vm.vm: self.view.observation(vm.vm) for vm in vms}
+        reports = {name: each.report for name, each in observations.items() if each is not None}
         usable = frozenset(vm.vm for vm in vms if self._is_usable(vm, now_s))
-        if usable != self._usable:
-            self._usable, self._usable_since_s = usable, now_s
+        if usable != self._usable_vms:
+            self._usable_vms, self._usable_since_s = usable, now_s
         return placement.PlacementInput(
             configuration=self.configuration.current,
             plans=plans,
@@ -46,7 +49,7 @@
                 for group in self.plans.groups()
                 if self.view.is_ended(*group.generation_key)
             ),
-            whole=frozenset(
+            complete=frozenset(
                 group.generation_key
                 for group in self.plans.groups()
                 if self.is_complete(group, now_s)
@@ -54,22 +57,27 @@
             generation_floor=generation_floor(fencing, reports.values()),
             substitutes=self._substitutes(),
             unstable=frozenset(
-                vm.vm for vm in vms if now_s - self.view.restarted_at_s(vm.vm) < UNSTABLE_S
+                vm.vm
+                for vm in vms
+                if now_s - self.view.restarted_at_s(vm.vm) < UNSTABLE_AFTER_RESTART_S
             ),
             settled_s=now_s - self._usable_since_s,
         )
 
     def _substitutes(self) -> dict[tuple[str, int], plan.Group]:
-        known = {}
+        substitutes = {}
         for versioned in self.plans.domains():
             for group in versioned.plan.groups:
                 substitute = self.plans.substitute_of(group)
                 if substitute is not None:
-                    known[group.generation_key] = substitute
-        return known
+                    substitutes[group.generation_key] = substitute
+        return substitutes
 
     def is_complete(self, group: plan.Group, now_s: float) -> bool:
-        """Tell whether all members say, freshly, that they have joined."""
+        """Return whether a fresh report of each member shows that it has joined this generation.
+
+        :param now_s: monotonic clock
+        """
         for member in group.members:
             report = self.view.fresh_report(member, now_s)
             if report is None or (report.group, report.generation) != group.generation_key:
@@ -90,14 +98,14 @@
 
 
 def generation_floor(fencing: int, reports) -> int:
-    """Return a number that no generation given out so far exceeds.
+    """Return an upper bound of all generation numbers used so far.
 
     :param fencing: the planner's fencing number, a revision of the store
-    :param reports: reports of engines
+    :param reports: reports of engines, an iterable of :class:`client.Report`
     """
-    # The plan record tells the last generation, but it can be lost or emptied, and a generation
-    # used twice would let members of the old group count for the new one. The store's revisions
-    # never go back, so each planner starts in a range of its own; what engines still report
-    # covers a store that was itself emptied.
-    reported = max((report.generation for report in reports), default=0)
-    return max(fencing * GENERATIONS_PER_TERM, reported)
+    # The plan record holds the last generation, but the record can be lost or emptied, and if a
+    # generation were used twice, members of the old group would count as members of the new one.
+    # The store's revisions never decrease, so each planner starts in a range of its own. The
+    # generations that engines still report cover the case that the store itself was emptied.
+    highest_reported = max((report.generation for report in reports), default=0)
+    return max(fencing * GENERATIONS_PER_TERM, highest_reported)
--- a/toucanhold/planning/placement.py
+++ b/toucanhold/planning/placement.py
@@ -1,4 +1,4 @@
-"""Choosing the members of groups."""
+"""Inputs, results and interface of placement policies, and the first-fit baseline."""
 
 import abc
 import collections
@@ -15,17 +15,20 @@
 
 @attrs.frozen
 class PlacementInput:
-    """The facts that a placement rests on.
-
-    :ivar usable: VMs that answer, stay, and lie in an availability zone that is not out
-    :ivar lost: VMs that are gone, leave, or have been silent for too long
-    :ivar reports: each VM's latest report, however old
-    :ivar ended: group and generation of groups that lost a member
-    :ivar whole: group and generation of groups all of whose members say that they have joined
-    :ivar generation_floor: no generation number up to here is given out again
-    :ivar substitutes: what has taken a group's place while nothing could be decided
-    :ivar unstable: VMs that restarted lately
-    :ivar settled_s: time since VMs last became usable or ceased to be
+    """The inputs of a placement decision.
+
+    :ivar configuration: the configuration in force
+    :ivar plans: current plan of each fabric domain, by domain
+    :ivar usable: VMs that answer, are not leaving, and lie in an availability zone that is not out
+    :ivar lost: VMs that have ended, are leaving, or have not answered for too long
+    :ivar reports: each VM's latest report regardless of age, by VM name
+    :ivar ended: generation keys of groups that were observed to lose a member
+    :ivar complete: generation keys of groups all of whose members report that they have joined
+    :ivar generation_floor: highest generation number that may have been used; new ones are greater
+    :ivar substitutes: groups with a spare in a lost member's place, formed while the key-value
+        service was unavailable, by the generation key of the planned group
+    :ivar unstable: VMs that restarted recently
+    :ivar settled_s: seconds since the set of usable VMs last changed
     """
 
     configuration: snapshot.Configuration
@@ -34,7 +37,7 @@
     lost: frozenset[str] = frozenset()
     reports: collections.abc.Mapping[str, client.Report] = attrs.field(factory=dict)
     ended: frozenset[tuple[str, int]] = frozenset()
-    whole: frozenset[tuple[str, int]] = frozenset()
+    complete: frozenset[tuple[str, int]] = frozenset()
     generation_floor: int = 0
     substitutes: collections.abc.Mapping[tuple[str, int], plan.Group] = attrs.field(factory=dict)
     unstable: frozenset[str] = frozenset()
@@ -42,17 +45,17 @@
 
     @functools.cached_property
     def vms(self) -> dict[str, inventory.Vm]:
-        """The inventory keyed by name."""
+        """The VMs of the inventory by name."""
         return self.configuration.inventory.by_name()
 
     def is_broken(self, group: plan.Group) -> bool:
-        """Tell whether a group lost a member, so that its generation is over."""
+        """Return whether a group lost a member, which ends its generation."""
         if group.generation_key in self.ended:
             return True
         return any(self.has_left(member, group) for member in group.members)
 
     def reason_to_end(self, group: plan.Group) -> str:
-        """Return why a group ends, for the log."""
+        """Return the reason for ending a group, for the log."""
         for member in group.members:
             if member in self.lost:
                 return f"{member} is gone or leaves"
@@ -68,28 +71,28 @@
         return "more replicas than wanted, or its VMs serve a more important service"
 
     def reason_to_form(self, group: plan.Group) -> str:
-        """Return why a group is formed, for the log."""
+        """Return the reason for forming a group, for the log."""
         service = self.configuration.rules.service(group.service)
         wanted = service.replicas if service else 0
-        sound = [
+        unbroken = [
             each
             for planned in self.plans.values()
             for each in planned.groups
             if each.service == group.service and not self.is_broken(each)
         ]
-        serving = [each for each in sound if not any(is_out(vm, self) for vm in each.members)]
-        if len(serving) < wanted:
-            return f"{len(serving)} of {wanted} replicas were planned"
-        if service and any(not is_current(each, service) for each in serving):
+        active = [each for each in unbroken if not any(is_out(vm, self) for vm in each.members)]
+        if len(active) < wanted:
+            return f"{len(active)} of {wanted} replicas were planned"
+        if service and any(not is_current(each, service) for each in active):
             return "a replica has an old version of the model"
         return "replicas are crowded in one availability zone"
 
     def has_left(self, member: str, group: plan.Group) -> bool:
-        """Tell whether a member is gone, restarted or outside the group."""
+        """Return whether a member is lost, has restarted, or has left a formed group."""
         report = self.reports.get(member)
         if report is None:
-            # Never seen by this entry. A planner that has just started would otherwise tear every
-            # group apart before its first polls return; a dead VM turns lost soon enough.
+            # This entry has no report from the VM yet. Otherwise a planner that has just started
+            # would end every group before its first polls return. A dead VM becomes lost soon.
             return member in self.lost
         if member in self.lost or not group.expects_boot(member, report.boot_id):
             return True
@@ -98,7 +101,11 @@
 
 @attrs.frozen
 class Shortfall:
-    """A service that gets fewer replicas than wanted."""
+    """A service with fewer replicas than wanted.
+
+    :ivar wanted: configured number of replicas
+    :ivar placed: number of replicas placed
+    """
 
     service: str
     wanted: int
@@ -107,7 +114,11 @@
 
 @attrs.frozen
 class Placement:
-    """New plans of the domains that change, and what falls short."""
+    """The result of a placement decision.
+
+    :ivar changed: new plans of the fabric domains that change
+    :ivar shortfalls: services that get fewer replicas than wanted
+    """
 
     changed: tuple[plan.DomainPlan, ...] = ()
     shortfalls: tuple[Shortfall, ...] = ()
@@ -118,43 +129,43 @@
 
     @abc.abstractmethod
     def place(self, inputs: PlacementInput) -> Placement:
-        """Return the plan for ``inputs``; groups that can go on keep their generation."""
+        """Return the placement for ``inputs``; groups that can continue keep their generation."""
 
 
 class FirstFit(PlacementPolicy):
-    """The baseline: keep whole groups; give free VMs, in name order, to the most important."""
+    """Baseline: keeps intact groups and assigns free VMs in inventory order by importance."""
 
     def place(self, inputs: PlacementInput) -> Placement:
         """See :class:`PlacementPolicy`."""
         services = {service.name: service for service in model_services(inputs.configuration)}
         kept = {
-            domain: [group for group in old.groups if _can_go_on(group, services, inputs)]
+            domain: [group for group in old.groups if _can_continue(group, services, inputs)]
             for domain, old in inputs.plans.items()
         }
-        kept = _without_surplus(kept, services)
+        kept = _without_surplus_groups(kept, services)
         free = free_vms(inputs, kept)
         generations = {domain: old.last_generation for domain, old in inputs.plans.items()}
         shortfalls = []
         for service in sorted(services.values(), key=lambda each: -each.importance):
-            have = sum(
+            placed_count = sum(
                 group.service == service.name for groups in kept.values() for group in groups
             )
-            while have < service.replicas:
+            while placed_count < service.replicas:
                 domain = _domain_with_room(service, free)
                 if domain is None:
-                    shortfalls.append(Shortfall(service.name, service.replicas, have))
+                    shortfalls.append(Shortfall(service.name, service.replicas, placed_count))
                     break
-                members = take(service, free[domain])
+                members = pop_fitting_vms(service, free[domain])
                 last = generations.get(domain, 0)
                 generations[domain] = max(last, inputs.generation_floor) + 1
                 group = new_group(domain, generations[domain], service, members, inputs)
                 kept.setdefault(domain, []).append(group)
-                have += 1
+                placed_count += 1
         return Placement(_changed_plans(inputs, kept, generations), tuple(shortfalls))
 
 
 def model_services(configuration: snapshot.Configuration) -> list[rules.Service]:
-    """Return the services that run on model engines."""
+    """Return the services of kind MODEL, which run on model engines."""
     return [
         service
         for service in configuration.rules.services
@@ -169,7 +180,10 @@
     members: collections.abc.Sequence[inventory.Vm],
     inputs: PlacementInput,
 ) -> plan.Group:
-    """Return a group with a name of its own."""
+    """Return a group of the VMs ``members``, in rank order, named after its domain and generation.
+
+    Its boot ids are empty unless every member has reported one.
+    """
     names = tuple(vm.vm for vm in members)
     boots = tuple(inputs.reports[name].boot_id for name in names if name in inputs.reports)
     return plan.Group(
@@ -187,18 +201,18 @@
     inputs: PlacementInput,
     kept: collections.abc.Mapping[str, collections.abc.Sequence[plan.Group]],
 ) -> dict[str, list[inventory.Vm]]:
-    """Return usable engine VMs outside any kept group, by fabric domain, in name order."""
-    taken = {member for groups in kept.values() for group in groups for member in group.members}
+    """Return usable engine VMs outside any kept group, by fabric domain, in inventory order."""
+    occupied = {member for groups in kept.values() for group in groups for member in group.members}
     free: dict[str, list[inventory.Vm]] = collections.defaultdict(list)
     for vm in inputs.configuration.inventory.vms:
-        engine = vm.kind is inventory.VmKind.ENGINE
-        if engine and vm.vm in inputs.usable and vm.vm not in taken:
+        is_engine = vm.kind is inventory.VmKind.ENGINE
+        if is_engine and vm.vm in inputs.usable and vm.vm not in occupied:
             free[vm.fabric_domain].append(vm)
     return free
 
 
-def take(service: rules.Service, free: list[inventory.Vm]) -> list[inventory.Vm]:
-    """Remove and return the first VMs that fit ``service``."""
+def pop_fitting_vms(service: rules.Service, free: list[inventory.Vm]) -> list[inventory.Vm]:
+    """Remove from ``free`` and return the first VMs that fit ``service``, at most one replica's."""
     members = [vm for vm in free if vm.accelerators >= service.accelerators_per_vm]
     members = members[: service.vms_per_replica]
     for vm in members:
@@ -206,7 +220,7 @@
     return members
 
 
-def _can_go_on(
+def _can_continue(
     group: plan.Group, services: collections.abc.Mapping[str, rules.Service], inputs: PlacementInput
 ) -> bool:
     service = services.get(group.service)
@@ -220,36 +234,36 @@
 
 
 def is_current(group: plan.Group, service: rules.Service) -> bool:
-    """Tell whether a group has the service's present model and version."""
+    """Return whether a group has the service's current model and version, or records neither."""
     return (group.model, group.version) in (("", ""), (service.model, service.version))
 
 
 def is_out(member: str, inputs: PlacementInput) -> bool:
-    """Tell whether a VM is not in the inventory, or in an availability zone that is out."""
+    """Return whether a VM is missing from the inventory or its availability zone is out."""
     vm = inputs.vms.get(member)
     return vm is None or vm.availability_zone in inputs.configuration.zones_out
 
 
-def _without_surplus(
+def _without_surplus_groups(
     kept: dict[str, list[plan.Group]], services: collections.abc.Mapping[str, rules.Service]
 ) -> dict[str, list[plan.Group]]:
-    seen: collections.Counter[str] = collections.Counter()
-    trimmed: dict[str, list[plan.Group]] = {}
+    group_counts: collections.Counter[str] = collections.Counter()
+    remaining: dict[str, list[plan.Group]] = {}
     for domain, groups in kept.items():
-        trimmed[domain] = []
+        remaining[domain] = []
         for group in groups:
-            seen[group.service] += 1
-            if seen[group.service] <= services[group.service].replicas:
-                trimmed[domain].append(group)
-    return trimmed
+            group_counts[group.service] += 1
+            if group_counts[group.service] <= services[group.service].replicas:
+                remaining[domain].append(group)
+    return remaining
 
 
 def _domain_with_room(
     service: rules.Service, free: collections.abc.Mapping[str, list[inventory.Vm]]
 ) -> str | None:
     for domain in sorted(free):
-        fitting = [vm for vm in free[domain] if vm.accelerators >= service.accelerators_per_vm]
-        if len(fitting) >= service.vms_per_replica:
+        fitting_vms = [vm for vm in free[domain] if vm.accelerators >= service.accelerators_per_vm]
+        if len(fitting_vms) >= service.vms_per_replica:
             return domain
     return None
 
--- a/toucanhold/planning/placement_state.py
+++ b/toucanhold/planning/placement_state.py
@@ -185,7 +185,7 @@
                 continue
             substitute = inputs.substitutes.get(group.generation_key)
             if substitute is not None and not inputs.is_broken(substitute):
-                formed = substitute.generation_key in inputs.whole
+                formed = substitute.generation_key in inputs.complete
                 state.add_group(domain, attrs.evolve(substitute, formed=formed))
                 continue
             if inputs.is_broken(group):
--- a/toucanhold/planning/planner.py
+++ b/toucanhold/planning/planner.py
@@ -131,7 +131,7 @@
             new = set(domain_plan.groups) - set(old.groups)
             reasons |= {group.generation_key: known.reason_to_form(group) for group in new}
             await self.writer.write(domain_plan, reasons)
-        await self._note_formed(known.whole)
+        await self._note_formed(known.complete)
         if not self.term_log.has_begun:
             return
         async with trio.open_nursery() as nursery:
@@ -139,11 +139,11 @@
                 if self.writer.is_clear(due.vm.fabric_domain):
                     nursery.start_soon(self._send, due, fencing)
 
-    async def _note_formed(self, whole: frozenset[tuple[str, int]]) -> None:
+    async def _note_formed(self, complete: frozenset[tuple[str, int]]) -> None:
         for versioned in self.plans.domains():
             old = versioned.plan
             groups = tuple(
-                attrs.evolve(group, formed=group.formed or group.generation_key in whole)
+                attrs.evolve(group, formed=group.formed or group.generation_key in complete)
                 for group in old.groups
             )
             if groups != old.groups and await self.writer.write(attrs.evolve(old, groups=groups)):
--- a/toucanhold/planning/spreading.py
+++ b/toucanhold/planning/spreading.py
@@ -10,9 +10,9 @@
 from toucanhold.planning import placement, placement_state
 from toucanhold.plans import plan
 
-DRAINABLE_COST = 0.5
+DRAINABLE_ZONE_COST = 0.5
 REBALANCE_AFTER_S = 60.0
-REBALANCE_GAIN = 1.0
+MIN_REBALANCE_GAIN = 1.0
 
 
 @attrs.frozen
@@ -50,8 +50,8 @@
         """
         placed: collections.Counter[int] = collections.Counter()
         for service in self.state.services.values():
-            have = min(service.replicas, len(self.state.active_groups(service.name)))
-            placed[service.importance] += have * service.vms_per_replica
+            placed_count = min(service.replicas, len(self.state.active_groups(service.name)))
+            placed[service.importance] += placed_count * service.vms_per_replica
         return tuple(placed[importance] for importance in sorted(placed, reverse=True))
 
 
@@ -99,7 +99,7 @@
     zone that cannot be drained, where there is one.
     """
     drainable = zone in state.drainable_zones
-    return state.count_in_zone(service.name, zone) + (DRAINABLE_COST if drainable else 0)
+    return state.count_in_zone(service.name, zone) + (DRAINABLE_ZONE_COST if drainable else 0)
 
 
 def best_domain(
@@ -151,8 +151,8 @@
             service = min(remaining, key=lambda each: _fill_priority(state, each, strategy))
             if not _add_group(state, service, strategy):
                 remaining.remove(service)
-                have = len(state.active_groups(service.name))
-                yield placement.Shortfall(service.name, service.replicas, have)
+                placed_count = len(state.active_groups(service.name))
+                yield placement.Shortfall(service.name, service.replicas, placed_count)
             elif _missing_count(state, service) <= 0:
                 remaining.remove(service)
 
@@ -195,12 +195,18 @@
         victims = _victims_in_domain(state, service, domain)
         if victims:
             zone = state.zone_of(victims[0])
-            highest = max(state.services[group.service].importance for group in victims)
+            highest_importance = max(state.services[group.service].importance for group in victims)
             ended_vms = sum(len(group.members) for group in victims)
             vms_with_weights = sum(
                 state.has_weights(vm, service) for vm in state.fitting_vms(service, domain)
             )
-            cost = (highest, ended_vms, -vms_with_weights, zone_cost(state, service, zone), domain)
+            cost = (
+                highest_importance,
+                ended_vms,
+                -vms_with_weights,
+                zone_cost(state, service, zone),
+                domain,
+            )
             options.append((cost, victims))
     return min(options, key=lambda option: option[0])[1] if options else []
 
@@ -214,7 +220,8 @@
         for group in state.groups[domain]
         if state.services[group.service].importance < service.importance
     ]
-    # Groups of the service with the most replicas come first, so that a last replica is spared.
+    # Among equally important services the one with the most replicas is preempted first, so that a
+    # service's last replica is preempted last.
     less_important.sort(
         key=lambda group: (
             state.services[group.service].importance,
@@ -252,11 +259,11 @@
     formed = [group for group in state.active_groups(service.name) if group.formed]
     forming = [group for group in state.active_groups(service.name) if not group.formed]
     forming.sort(key=lambda group: (not placement.is_current(group, service), group.generation_key))
-    room = max(0, service.replicas - len(formed))
-    for group in forming[:room]:
+    open_slots = max(0, service.replicas - len(formed))
+    for group in forming[:open_slots]:
         if not placement.is_current(group, service):
             state.end_group(group)
-    for index, group in enumerate(forming[room:]):
+    for index, group in enumerate(forming[open_slots:]):
         if index > 0 or not _is_useful_replacement(state, service, group):
             state.end_group(group)
 
@@ -278,8 +285,8 @@
     state: placement_state.PlacementState, service: rules.Service, group: plan.Group
 ) -> tuple:
     outdated = not placement.is_current(group, service)
-    crowded = zone_cost(state, service, state.zone_of(group))
-    return (outdated, crowded, _is_cold(state, group), group.generation_key)
+    current_cost = zone_cost(state, service, state.zone_of(group))
+    return (outdated, current_cost, _is_cold(state, group), group.generation_key)
 
 
 def _is_cold(state: placement_state.PlacementState, group: plan.Group) -> bool:
@@ -293,9 +300,11 @@
     formed = [each for each in state.active_groups(service.name) if each.formed]
     if any(not placement.is_current(each, service) for each in formed):
         return placement.is_current(group, service)
-    crowded = max((zone_cost(state, service, state.zone_of(each)) for each in formed), default=0)
+    current_cost = max(
+        (zone_cost(state, service, state.zone_of(each)) for each in formed), default=0
+    )
     # The zone's cost already includes the group itself, so it is subtracted.
-    return crowded - (zone_cost(state, service, state.zone_of(group)) - 1) > REBALANCE_GAIN
+    return current_cost - (zone_cost(state, service, state.zone_of(group)) - 1) > MIN_REBALANCE_GAIN
 
 
 def _upgrade_or_rebalance(state: placement_state.PlacementState) -> None:
@@ -312,12 +321,12 @@
     active = state.active_groups(service.name)
     if len(active) < 2 or len(active) > service.replicas:
         return False
-    crowded = max(zone_cost(state, service, state.zone_of(group)) for group in active)
+    current_cost = max(zone_cost(state, service, state.zone_of(group)) for group in active)
     domain = best_domain(state, service, STRATEGIES[0])
     if domain is None:
         return False
     zone = state.free[domain][0].availability_zone
-    if crowded - zone_cost(state, service, zone) <= REBALANCE_GAIN:
+    if current_cost - zone_cost(state, service, zone) <= MIN_REBALANCE_GAIN:
         return False
     state.form_group(service, domain)
     return True
