--- a/toucanhold/planning/planner.py
+++ b/toucanhold/planning/planner.py
@@ -53,7 +53,7 @@
     input_builder: input_building.PlacementInputBuilder = attrs.field(init=False)
     writer: writing.PlanWriter = attrs.field(init=False)
     term_log: terms.TermLog = attrs.field(init=False)
-    orders: order_scheduling.OrderScheduler = attrs.field(init=False)
+    order_scheduler: order_scheduling.OrderScheduler = attrs.field(init=False)
     spares: substitution.Substitution = attrs.field(init=False)
     _fencing: int = attrs.field(default=0, init=False)
     _sending: int = attrs.field(default=0, init=False)
@@ -67,7 +67,7 @@
         self.term_log = terms.TermLog(
             self.store, self.leadership, self.entry, self.process, self.peers_address, self.probe
         )
-        self.orders = order_scheduling.OrderScheduler(
+        self.order_scheduler = order_scheduling.OrderScheduler(
             self.configuration, self.plans, self.view, self.term_log
         )
         self.spares = substitution.Substitution(
@@ -114,7 +114,7 @@
         vms = self.spares.decide()
         last_term = self.spares.last_term
         async with trio.open_nursery() as nursery:
-            for due in self.orders.due(last_term):
+            for due in self.order_scheduler.due_orders(last_term):
                 if due.vm.vm in vms:
                     nursery.start_soon(self._deliver, due, ORDER_TIMEOUT_S)
 
@@ -135,7 +135,7 @@
         if not self.term_log.has_begun:
             return
         async with trio.open_nursery() as nursery:
-            for due in self.orders.due(fencing):
+            for due in self.order_scheduler.due_orders(fencing):
                 if self.writer.is_clear(due.vm.fabric_domain):
                     nursery.start_soon(self._send, due, fencing)
 
@@ -159,18 +159,18 @@
 
     async def _deliver(self, due: order_scheduling.DueOrder, timeout_s: float) -> None:
         vm, order = due.vm, due.order
-        clear, taken = True, False
+        has_known_outcome, was_accepted = True, False
         self._sending += 1
         try:
             await self.backends.send_order(vm.address, order, timeout_s)
-            taken = True
+            was_accepted = True
         except client.BackendError as error:
-            clear = isinstance(error, client.NotSentError | client.OrderRefusedError)
+            has_known_outcome = isinstance(error, client.NotSentError | client.OrderRefusedError)
             events.log(LOGGER, events.Event.ORDER_FAILED, vm=vm.vm, reason=str(error))
             return
         finally:
             self._sending -= 1
-            self.orders.note_sent(due, clear, taken)
+            self.order_scheduler.record_sent(due, has_known_outcome, was_accepted)
         events.log(
             LOGGER, events.Event.ORDER_SENT, vm=vm.vm, order=order.order, fencing=order.fencing
         )
--- a/toucanhold/plans/plan.py
+++ b/toucanhold/plans/plan.py
@@ -109,7 +109,7 @@
     change_count: int = attrs.field(default=0, init=False)
     _domains: dict[str, VersionedDomainPlan] = attrs.field(factory=dict)
     _substitutes: dict[tuple[str, int], Group] = attrs.field(factory=dict)
-    _former: dict[tuple[str, int], Group] = attrs.field(factory=dict)
+    _former_groups: dict[tuple[str, int], Group] = attrs.field(factory=dict)
     _changed: trio.Event = attrs.field(factory=trio.Event)
 
     def domain(self, name: str) -> VersionedDomainPlan:
@@ -150,9 +150,12 @@
         """Return all substitutes."""
         return tuple(self._substitutes.values())
 
-    def former(self, generation_key: tuple[str, int]) -> Group | None:
-        """Return a group that was planned until lately."""
-        return self._former.get(generation_key)
+    def former_group(self, generation_key: tuple[str, int]) -> Group | None:
+        """Return a group that was planned until recently, or None.
+
+        The last ``FORMER_GROUPS_KEPT`` groups that left the plan are kept.
+        """
+        return self._former_groups.get(generation_key)
 
     @property
     def revision(self) -> int:
@@ -166,7 +169,7 @@
         if versioned.revision <= old.revision:
             return False
         self._domains[versioned.plan.domain] = versioned
-        self._remember_former(old.plan, versioned.plan)
+        self._keep_former(old.plan, versioned.plan)
         self._signal()
         return True
 
@@ -179,14 +182,14 @@
         """Return after the next change."""
         await self._changed.wait()
 
-    def _remember_former(self, old: DomainPlan, new: DomainPlan) -> None:
+    def _keep_former(self, old: DomainPlan, new: DomainPlan) -> None:
         planned = {group.generation_key for group in new.groups}
         for group in old.groups:
             if group.generation_key not in planned:
-                self._former[group.generation_key] = group
+                self._former_groups[group.generation_key] = group
                 self._substitutes.pop(group.generation_key, None)
-        while len(self._former) > FORMER_GROUPS_KEPT:
-            del self._former[next(iter(self._former))]
+        while len(self._former_groups) > FORMER_GROUPS_KEPT:
+            del self._former_groups[next(iter(self._former_groups))]
 
 
 def substitute(group: Group, lost: str) -> Group:
