--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -241,7 +241,7 @@
         reports = dict(before.reports)
         reports[busy] = attrs.evolve(reports[busy], running=4)
         inputs = attrs.evolve(before, reports=reports)
-        seen = preview.without_zones(POLICY, inputs, ["zone-1"])
+        seen = preview.preview_without_zones(POLICY, inputs, ["zone-1"])
         self.assertTrue(seen.falls_short)
         self.assertEqual(
             [("a", 3, 3), ("b", 3, 1)],
--- a/tests/test_planner_peers.py
+++ b/tests/test_planner_peers.py
@@ -26,8 +26,8 @@
     def test_departure_seen_by_one_entry_ends_the_generation_on_the_other(self):
         near, far = self._pair()
         views = view.View(), view.View()
-        peering.EndingSpreader(near, views[0])
-        peering.EndingSpreader(far, views[1])
+        peering.GenerationEndBroadcaster(near, views[0])
+        peering.GenerationEndBroadcaster(far, views[1])
         views[0].record("vm", client.Report("vm", "1", group="g/1", generation=1), 1.0)
         views[0].record("vm", client.Report("vm", "2"), 2.0)
         self.assertTrue(views[1].is_ended("g/1", 1))
@@ -37,8 +37,8 @@
             async with scenes.scene() as site:
                 near, far = self._pair()
                 old = site.start("old")
-                await scenes.wait_until(lambda: old.planner.term_log.has_begun)
-                peering.StepDownAnswerer(far, old.planner)
+                await scenes.wait_until(lambda: old.planner.term_log.is_term_recorded)
+                peering.StepDownResponder(far, old.planner)
                 probe = peering.PeerProbe(near, _Transport("nobody answers"))
                 own = plan.Term(old.lease.fencing, "far", old.planner.process, "far:1")
                 old.planner.entry, old.planner.peers_address = "far", "far:1"
@@ -103,7 +103,7 @@
                 (before,) = old.whole_groups()
                 site.platform.set_mode("down", "old")
                 new = site.start("new")
-                await scenes.wait_until(lambda: new.planner.term_log.has_begun, 30)
+                await scenes.wait_until(lambda: new.planner.term_log.is_term_recorded, 30)
                 site.engines.engines[scenes.address(site, before.members[0])].restart()
                 await scenes.wait_until(lambda: scenes.other_generation(new, before))
                 (now,) = new.whole_groups()
--- a/tests/test_planner_safety.py
+++ b/tests/test_planner_safety.py
@@ -48,10 +48,10 @@
                 site.engine(0).mode = fleet.Mode.REFUSING
                 new = site.start("new")
                 await scenes.wait_until(lambda: new.lease.is_held())
-                await trio.sleep(terms.PAUSE_BOUND_S / 2)
+                await trio.sleep(terms.MAX_PAUSE_S / 2)
                 self.assertEqual([], scenes.joins_of(site.engine(1)))
                 gate.set()
-                await scenes.wait_until(new.whole_groups, terms.PAUSE_BOUND_S)
+                await scenes.wait_until(new.whole_groups, terms.MAX_PAUSE_S)
                 first, second = scenes.joins_of(site.engine(1))
                 self.assertLess(first.generation, second.generation)
                 await trio.sleep(20)
@@ -121,7 +121,7 @@
                 emptied = attrs.evolve(known.plan, groups=())
                 self.assertTrue(await node.planner.writer.write(emptied))
                 self.assertEqual([], list(node.plans.groups()))
-                self.assertTrue(node.planner.writer.is_clear("domain-0-0"))
+                self.assertTrue(node.planner.writer.is_confirmed("domain-0-0"))
 
         scenes.run(test)
 
@@ -134,7 +134,7 @@
                 faults.lose_kinds, faults.lose_requests = ("kv/txn", "kv/range"), 1000
                 site.engine(0).mode = fleet.Mode.REFUSING
                 await trio.sleep(2)
-                self.assertFalse(node.planner.writer.is_clear("domain-0-0"))
+                self.assertFalse(node.planner.writer.is_confirmed("domain-0-0"))
                 self.assertEqual([], scenes.leaves_of(site.engine(1)))
                 faults.lose_requests = 0
                 await scenes.wait_until(node.whole_groups)
@@ -162,7 +162,7 @@
                 await scenes.wait_until(lambda: scenes.is_formed(old))
                 old.scope.cancel()
                 new = site.start("new")
-                await scenes.wait_until(lambda: new.planner.term_log.has_begun)
+                await scenes.wait_until(lambda: new.planner.term_log.is_term_recorded)
                 (known,) = old.plans.domains()
                 emptied = attrs.evolve(known.plan, groups=())
                 self.assertFalse(await old.planner.writer.write(emptied))
--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -202,8 +202,8 @@
             peering.PeerProbe(self.exchange, self.outside.peers),
             self.roster.own.boot,
         )
-        peering.StepDownAnswerer(self.exchange, self.planner)
-        peering.EndingSpreader(self.exchange, self.view)
+        peering.StepDownResponder(self.exchange, self.planner)
+        peering.GenerationEndBroadcaster(self.exchange, self.view)
 
     def _build_routing(self) -> None:
         self.router = router.chosen(
--- a/toucanhold/operators/app.py
+++ b/toucanhold/operators/app.py
@@ -110,11 +110,11 @@
             raise _error(422, "invalid", "name availability zones: ?without=NAME")
         if unknown := sorted(set(zones) - known):
             raise _error(404, "unknown-availability-zone", f"no availability zone {unknown[0]!r}")
-        return self.previewer.without(zones)
+        return self.previewer.preview_without_zones(zones)
 
     def _preview_document(self, wanted: document.Document) -> preview.Preview:
         _check(wanted)
-        return self.previewer.with_document(wanted)
+        return self.previewer.preview_document(wanted)
 
     async def _apply(self, request: messages.ApplyRequest) -> messages.ChangeAnswer:
         _check(request.document)
--- a/toucanhold/planning/order_scheduling.py
+++ b/toucanhold/planning/order_scheduling.py
@@ -252,7 +252,7 @@
         # and leave its new group. Until no earlier planner can act, such an engine joins only
         # groups that were planned in the earlier planners' terms: their remaining orders follow the
         # same plan.
-        oldest_fencing = min((term.fencing for term in self.term_log.earlier()), default=None)
+        oldest_fencing = min((term.fencing for term in self.term_log.predecessors()), default=None)
         return (
             oldest_fencing is None
             or planned_group.generation // input_building.GENERATIONS_PER_TERM <= oldest_fencing
--- a/toucanhold/planning/peering.py
+++ b/toucanhold/planning/peering.py
@@ -1,4 +1,4 @@
-"""What planning tells and asks other entries."""
+"""Messages that planning exchanges with other entries."""
 
 import attrs
 import trio
@@ -13,37 +13,37 @@
 
 
 @attrs.define(eq=False)
-class EndingSpreader:
-    """Ends a generation on all entries as soon as one sees a member leave."""
+class GenerationEndBroadcaster:
+    """Ends a generation on all entries as soon as one entry observes that a member left."""
 
-    # Without it each entry goes on sending requests into a broken group until its own next poll.
+    # Otherwise each entry would keep routing requests to a broken group until its own next poll.
     exchange: exchange.Exchange
     view: view.View
 
     def __attrs_post_init__(self) -> None:
-        """Subscribe to both sides."""
-        self.view.subscribe_ended(self._tell)
-        self.exchange.subscribe(messages.GenerationEnded, self._hear)
+        """Subscribe to ends observed here and to those reported by peers."""
+        self.view.subscribe_ended(self._broadcast)
+        self.exchange.subscribe(messages.GenerationEnded, self._receive)
 
-    def _tell(self, group: str, generation: int) -> None:
+    def _broadcast(self, group: str, generation: int) -> None:
         self.exchange.broadcast(messages.GenerationEnded(group, generation))
 
-    def _hear(self, sender: str, message: messages.GenerationEnded) -> None:
-        # Each entry passes it on once: the view tells only of endings that are new to it.
+    def _receive(self, sender: str, message: messages.GenerationEnded) -> None:
+        # Each entry forwards an end once, because the view notifies only of ends new to it.
         self.view.end_generation(message.group, message.generation)
 
 
 @attrs.define(eq=False)
 class PeerProbe(terms.PredecessorProbe):
-    """Asks earlier planners whether they stepped down, and looks whether they still exist."""
+    """Asks earlier planners whether they stepped down, and checks whether their processes exist."""
 
     exchange: exchange.Exchange
     transport: transport.PeerTransport
     _ended: set[tuple[str, int]] = attrs.field(factory=set, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Subscribe to answers."""
-        self.exchange.subscribe(messages.StepDownAnswer, self._hear)
+        """Subscribe to step-down answers."""
+        self.exchange.subscribe(messages.StepDownAnswer, self._record_answer)
 
     async def has_ended(self, term: plan.Term) -> bool:
         """See :class:`terms.PredecessorProbe`."""
@@ -54,8 +54,8 @@
         return await self._is_gone(term)
 
     async def _is_gone(self, term: plan.Term) -> bool:
-        # A paused process keeps its listening socket, and a VM that is cut off does not answer at
-        # all. Only a VM that is there without the process refuses.
+        # A paused process keeps its listening socket, and an unreachable VM does not answer at all.
+        # Only a reachable VM on which the process has ended refuses the connection.
         try:
             with trio.fail_after(CONNECT_TIMEOUT_S):
                 stream = await self.transport.connect(term.peers_address)
@@ -66,19 +66,19 @@
         await trio.aclose_forcefully(stream)
         return False
 
-    def _hear(self, sender: str, message: messages.StepDownAnswer) -> None:
+    def _record_answer(self, sender: str, message: messages.StepDownAnswer) -> None:
         self._ended.add((sender, message.fencing))
 
 
 @attrs.define(eq=False)
-class StepDownAnswerer:
-    """Tells a later planner that this entry's own term is over."""
+class StepDownResponder:
+    """Answers a later planner once this entry's term has ended."""
 
     exchange: exchange.Exchange
     planner: planner.Planner
 
     def __attrs_post_init__(self) -> None:
-        """Subscribe to questions."""
+        """Subscribe to step-down requests."""
         self.exchange.subscribe(messages.StepDownAsk, self._answer)
 
     def _answer(self, sender: str, message: messages.StepDownAsk) -> None:
@@ -90,7 +90,7 @@
         if term.entry != own.entry:
             return False
         if term.process != own.process:
-            # Another process can be spoken for only where it would need this one's address.
+            # Another process has certainly ended only if it listened at this process's address.
             return term.peers_address == own.peers_address
         own.renounce(term.fencing)
         return not own.can_act(term.fencing)
--- a/toucanhold/planning/planner.py
+++ b/toucanhold/planning/planner.py
@@ -1,4 +1,4 @@
-"""The planner: forms groups, writes the plan, and gives engines their orders."""
+"""The planner: forms groups, writes the plan and sends orders to engines."""
 
 import logging
 import uuid
@@ -34,8 +34,10 @@
     """Plans while this entry holds the planner lease.
 
     :ivar entry: this entry's name
-    :ivar peers_address: where this entry takes peers' connections
-    :ivar probe: finds out whether earlier planners can still act
+    :ivar peers_address: ``IP:port`` at which this entry accepts peers' connections
+    :ivar probe: determines whether earlier planners can still act
+    :ivar process: identifier of this process; a restarted entry has another
+    :ivar shortfalls: services short of replicas, as of the last decision
     """
 
     configuration: holder.ConfigurationHolder
@@ -54,12 +56,12 @@
     writer: writing.PlanWriter = attrs.field(init=False)
     term_log: terms.TermLog = attrs.field(init=False)
     order_scheduler: order_scheduling.OrderScheduler = attrs.field(init=False)
-    spares: substitution.Substitution = attrs.field(init=False)
-    _fencing: int = attrs.field(default=0, init=False)
-    _sending: int = attrs.field(default=0, init=False)
+    outage_substitution: substitution.OutageSubstitution = attrs.field(init=False)
+    _logged_fencing: int = attrs.field(default=0, init=False)
+    _sending_count: int = attrs.field(default=0, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Build the parts."""
+        """Build the planner's components."""
         self.input_builder = input_building.PlacementInputBuilder(
             self.configuration, self.plans, self.view
         )
@@ -70,7 +72,7 @@
         self.order_scheduler = order_scheduling.OrderScheduler(
             self.configuration, self.plans, self.view, self.term_log
         )
-        self.spares = substitution.Substitution(
+        self.outage_substitution = substitution.OutageSubstitution(
             self.configuration, self.plans, self.input_builder, self.store, self.leadership
         )
 
@@ -79,40 +81,40 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.term_log.run)
             while True:
-                self._note_leadership()
+                self._log_leadership_change()
                 self.view.keep_ended({group.group for group in self.plans.groups()})
                 substitution.adopt_complete_substitutes(self.input_builder, self.plans)
                 if self.configuration.current.number:
-                    await self._act()
+                    await self._plan_or_substitute()
                 await trio.sleep(TICK_INTERVAL_S)
 
     def placement_input(self) -> placement.PlacementInput:
-        """Return what a placement would rest on now."""
+        """Return the inputs of a placement decision now."""
         return self.input_builder.build(self.leadership.fencing)
 
     def renounce(self, fencing: int) -> None:
-        """Act on the term ``fencing`` no more, unless its lease still runs."""
-        if self.spares.last_term <= fencing and not self.leadership.is_held():
-            self.spares.renounce()
+        """Stop acting on the term ``fencing``, unless its lease is still held."""
+        if self.outage_substitution.last_term <= fencing and not self.leadership.is_held():
+            self.outage_substitution.renounce()
 
     def can_act(self, fencing: int) -> bool:
-        """Tell whether an order of the term ``fencing`` may still leave this entry."""
-        holds = self.leadership.is_held() and self.leadership.fencing == fencing
-        return holds or self._sending > 0
+        """Return whether this entry may still send an order of the term ``fencing``."""
+        holds_lease = self.leadership.is_held() and self.leadership.fencing == fencing
+        return holds_lease or self._sending_count > 0
 
-    async def _act(self) -> None:
+    async def _plan_or_substitute(self) -> None:
         try:
             if self.leadership.is_held():
-                self.spares.note_held()
+                self.outage_substitution.record_held()
                 await self._tick()
-            elif await self.spares.may_act():
+            elif await self.outage_substitution.may_act():
                 await self._substitute()
         except keyvalue.KeyValueError as error:
-            LOGGER.debug("planning is put off: %s", error)
+            LOGGER.debug("planning postponed to the next tick: %s", error)
 
     async def _substitute(self) -> None:
-        vms = self.spares.decide()
-        last_term = self.spares.last_term
+        vms = self.outage_substitution.substitute_lost_members()
+        last_term = self.outage_substitution.last_term
         async with trio.open_nursery() as nursery:
             for due in self.order_scheduler.due_orders(last_term):
                 if due.vm.vm in vms:
@@ -120,26 +122,26 @@
 
     async def _tick(self) -> None:
         fencing = self.leadership.fencing
-        await self.term_log.begin()
-        await self.writer.settle()
-        known = self.placement_input()
-        decided = self.policy.place(known)
-        self._note_shortfalls(decided.shortfalls)
-        for domain_plan in decided.changed:
+        await self.term_log.record_term()
+        await self.writer.read_back_unconfirmed()
+        inputs = self.placement_input()
+        placed = self.policy.place(inputs)
+        self._log_new_shortfalls(placed.shortfalls)
+        for domain_plan in placed.changed:
             old = self.plans.domain(domain_plan.domain).plan
-            reasons = {group.generation_key: known.reason_to_end(group) for group in old.groups}
+            reasons = {group.generation_key: inputs.reason_to_end(group) for group in old.groups}
             new = set(domain_plan.groups) - set(old.groups)
-            reasons |= {group.generation_key: known.reason_to_form(group) for group in new}
+            reasons |= {group.generation_key: inputs.reason_to_form(group) for group in new}
             await self.writer.write(domain_plan, reasons)
-        await self._note_formed(known.complete)
-        if not self.term_log.has_begun:
+        await self._record_formed(inputs.complete)
+        if not self.term_log.is_term_recorded:
             return
         async with trio.open_nursery() as nursery:
             for due in self.order_scheduler.due_orders(fencing):
-                if self.writer.is_clear(due.vm.fabric_domain):
+                if self.writer.is_confirmed(due.vm.fabric_domain):
                     nursery.start_soon(self._send, due, fencing)
 
-    async def _note_formed(self, complete: frozenset[tuple[str, int]]) -> None:
+    async def _record_formed(self, complete: frozenset[tuple[str, int]]) -> None:
         for versioned in self.plans.domains():
             old = versioned.plan
             groups = tuple(
@@ -151,7 +153,8 @@
 
     async def _send(self, due: order_scheduling.DueOrder, fencing: int) -> None:
         # A tick can take seconds when the store is slow, and a process can be paused anywhere. The
-        # lease is looked at once more right before the order leaves, with time for it to arrive.
+        # lease is therefore checked again just before the order is sent, with a margin for its
+        # delivery.
         remaining_s = self.leadership.remaining_s()
         if remaining_s < LEASE_MARGIN_S or self.leadership.fencing != fencing:
             return
@@ -160,7 +163,7 @@
     async def _deliver(self, due: order_scheduling.DueOrder, timeout_s: float) -> None:
         vm, order = due.vm, due.order
         has_known_outcome, was_accepted = True, False
-        self._sending += 1
+        self._sending_count += 1
         try:
             await self.backends.send_order(vm.address, order, timeout_s)
             was_accepted = True
@@ -169,21 +172,21 @@
             events.log(LOGGER, events.Event.ORDER_FAILED, vm=vm.vm, reason=str(error))
             return
         finally:
-            self._sending -= 1
+            self._sending_count -= 1
             self.order_scheduler.record_sent(due, has_known_outcome, was_accepted)
         events.log(
             LOGGER, events.Event.ORDER_SENT, vm=vm.vm, order=order.order, fencing=order.fencing
         )
 
-    def _note_leadership(self) -> None:
+    def _log_leadership_change(self) -> None:
         fencing = self.leadership.fencing if self.leadership.is_held() else 0
-        if fencing and fencing != self._fencing:
+        if fencing and fencing != self._logged_fencing:
             events.log(LOGGER, events.Event.PLANNER_ELECTED, fencing=fencing)
-        if self._fencing and not fencing:
-            events.log(LOGGER, events.Event.PLANNER_LOST, fencing=self._fencing)
-        self._fencing = fencing
+        if self._logged_fencing and not fencing:
+            events.log(LOGGER, events.Event.PLANNER_LOST, fencing=self._logged_fencing)
+        self._logged_fencing = fencing
 
-    def _note_shortfalls(self, shortfalls: tuple[placement.Shortfall, ...]) -> None:
+    def _log_new_shortfalls(self, shortfalls: tuple[placement.Shortfall, ...]) -> None:
         for shortfall in set(shortfalls) - set(self.shortfalls):
             events.log(
                 LOGGER,
--- a/toucanhold/planning/substitution.py
+++ b/toucanhold/planning/substitution.py
@@ -1,4 +1,4 @@
-"""Substitutions during an outage of the key-value service, decided beforehand in the plan."""
+"""Replaces lost members by recorded spares while the key-value service is unavailable."""
 
 import logging
 
@@ -17,16 +17,16 @@
 
 
 @attrs.define(eq=False)
-class Substitution:
-    """Lets the last planner put a group's recorded spare in the place of a lost member.
+class OutageSubstitution:
+    """Lets the last planner replace a lost member of a group by the recorded spare.
 
-    Without a compare-and-swap nothing new can be decided, so this is a pure function of the record:
-    the spare, its place and the generation number were reserved by the last accepted write. Only
-    engines that check fencing take part. Orders carry the last term's number or the record's
-    revision, so an engine that has seen a newer order refuses them; and entries route to the
-    substitute only when all its members report it, as to any group.
+    Without compare-and-swap no new plan can be decided, so the substitute is a pure function of the
+    plan record: the last accepted write reserved the spare, its rank and the generation number.
+    Only engines that check fencing are eligible. Orders carry the last term's fencing number or the
+    record's revision, so an engine that has received a newer order refuses them. Entries route to
+    the substitute only when all its members report it, as with any group.
 
-    :ivar last_term: fencing number of this entry's last term, 0 where it may not act on it
+    :ivar last_term: fencing number of this entry's last term; 0 if this entry may not act on it
     """
 
     configuration: holder.ConfigurationHolder
@@ -37,19 +37,20 @@
     last_term: int = attrs.field(default=0, init=False)
     _held_at_s: float = attrs.field(default=float("-inf"), init=False)
 
-    def note_held(self) -> None:
-        """Note that this entry holds the lease now."""
+    def record_held(self) -> None:
+        """Record that this entry holds the planner lease now."""
         self.last_term, self._held_at_s = self.leadership.fencing, trio.current_time()
 
     def renounce(self) -> None:
-        """Never act on the last term again: a successor has asked about it."""
+        """Stop acting on the last term, because a successor exists."""
         self.last_term = 0
 
     async def may_act(self) -> bool:
-        """Tell whether this entry was the last planner and the service does not answer."""
+        """Return whether this entry was the last planner and the key-value service is down."""
         if not self.last_term or trio.current_time() - self._held_at_s < SUBSTITUTE_AFTER_S:
             return False
-        # A successor needs the service, whose record then shows it. Its plan may come by a peer.
+        # A successor can be elected only through the service, whose planner key then shows it. Its
+        # plan may arrive from a peer while the service is unreachable from here.
         if any(each.plan.fencing > self.last_term for each in self.plans.domains()):
             self.renounce()
             return False
@@ -61,18 +62,21 @@
             self.renounce()
         return False
 
-    def decide(self) -> set[str]:
-        """Put substitutes in the place of broken groups; return the VMs that they consist of."""
-        known = self.input_builder.build(0)
+    def substitute_lost_members(self) -> set[str]:
+        """Set substitutes for broken groups and return the members of all substitutes.
+
+        A group gets one only if it lost exactly one member and records a spare.
+        """
+        inputs = self.input_builder.build(0)
         for versioned in self.plans.domains():
             for group in versioned.plan.groups:
-                lost = [vm for vm in group.members if known.has_left(vm, group)]
-                if len(lost) == 1 and self._all_check(group, lost[0]):
+                lost = [vm for vm in group.members if inputs.has_left(vm, group)]
+                if len(lost) == 1 and self._all_check_fencing(group, lost[0]):
                     if self.plans.set_substitute(group, plan.substitute(group, lost[0])):
-                        _log(group, lost[0])
+                        _log_substitution(group, lost[0])
         return {vm for group in self.plans.substitutes() for vm in group.members}
 
-    def _all_check(self, group: plan.Group, lost: str) -> bool:
+    def _all_check_fencing(self, group: plan.Group, lost: str) -> bool:
         vms = self.configuration.current.inventory.by_name()
         members = {*group.members, group.spare} - {lost}
         return bool(group.spare) and all(
@@ -83,7 +87,7 @@
 def adopt_complete_substitutes(
     input_builder: input_building.PlacementInputBuilder, plans: plan.PlanHolder
 ) -> None:
-    """Route to each substitute whose members all report it."""
+    """Set each substitute whose members all report it, so that this entry routes to it."""
     now_s = trio.current_time()
     for versioned in plans.domains():
         for group in versioned.plan.groups:
@@ -97,7 +101,7 @@
                     plans.set_substitute(group, substitute)
 
 
-def _log(group: plan.Group, lost: str) -> None:
+def _log_substitution(group: plan.Group, lost: str) -> None:
     events.log(
         LOGGER,
         events.Event.MEMBER_SUBSTITUTED,
--- a/toucanhold/planning/terms.py
+++ b/toucanhold/planning/terms.py
@@ -1,4 +1,4 @@
-"""Which earlier planners may still act."""
+"""Records planner terms and tracks which earlier planners may still send orders."""
 
 import abc
 import collections.abc
@@ -13,7 +13,7 @@
 from toucanhold.plans import plan
 
 TERMS_KEY = "toucanhold/planner-terms"
-PAUSE_BOUND_S = 30.0
+MAX_PAUSE_S = 30.0
 PROBE_INTERVAL_S = 0.5
 
 LOGGER = logging.getLogger(__name__)
@@ -21,7 +21,10 @@
 
 @attrs.frozen
 class Terms:
-    """The stored list: all terms whose holder may still act, the present one last."""
+    """The stored list of terms.
+
+    :ivar terms: all terms whose holder may still act, the current one last
+    """
 
     terms: tuple[plan.Term, ...] = ()
 
@@ -31,11 +34,11 @@
 
     @abc.abstractmethod
     async def has_ended(self, term: plan.Term) -> bool:
-        """Tell whether the holder acknowledged stepping down, or is known to be gone."""
+        """Return whether the term's holder acknowledged stepping down or is known to have ended."""
 
 
 class NoProbe(PredecessorProbe):
-    """Knows nothing: only the bound on pauses ends a term."""
+    """Never confirms an end, so that a term ends only after ``MAX_PAUSE_S``."""
 
     async def has_ended(self, term: plan.Term) -> bool:
         """See :class:`PredecessorProbe`."""
@@ -44,10 +47,12 @@
 
 @attrs.define(eq=False)
 class TermLog:
-    """Keeps the list of terms while this entry is planner.
+    """Maintains the stored list of terms while this entry is planner.
 
-    :ivar entry: this entry
+    :ivar entry: this entry's name
     :ivar process: identifier of this process
+    :ivar peers_address: ``IP:port`` at which this process accepts peers' connections
+    :ivar probe: determines whether earlier planners have ended
     """
 
     store: keyvalue.KeyValueClient
@@ -56,78 +61,87 @@
     process: str
     peers_address: str
     probe: PredecessorProbe = attrs.field(factory=NoProbe)
-    _begun: int = attrs.field(default=0, init=False)
-    _begun_at_s: float = attrs.field(default=float("-inf"), init=False)
-    _earlier: tuple[plan.Term, ...] = attrs.field(default=(), init=False)
+    _recorded_fencing: int = attrs.field(default=0, init=False)
+    _recorded_at_s: float = attrs.field(default=float("-inf"), init=False)
+    _predecessors: tuple[plan.Term, ...] = attrs.field(default=(), init=False)
 
     @property
-    def has_begun(self) -> bool:
-        """Whether the present term is on record, so that orders may be sent."""
-        return self._begun != 0 and self._begun == self.leadership.fencing
+    def is_term_recorded(self) -> bool:
+        """Whether the current term is stored, so that orders may be sent."""
+        return self._recorded_fencing != 0 and self._recorded_fencing == self.leadership.fencing
+
+    def predecessors(self) -> tuple[plan.Term, ...]:
+        """Return the earlier terms whose holders may still act.
 
-    def earlier(self) -> tuple[plan.Term, ...]:
-        """Return the earlier terms whose holders may still act."""
-        if trio.current_time() - self._begun_at_s >= PAUSE_BOUND_S:
+        None are left ``MAX_PAUSE_S`` after the current term was recorded.
+        """
+        if trio.current_time() - self._recorded_at_s >= MAX_PAUSE_S:
             return ()
-        return self._earlier
+        return self._predecessors
 
-    async def begin(self) -> None:
-        """Put the present term on record; a query of it if that was done.
+    async def record_term(self) -> None:
+        """Store the current term, or find it if it was stored already.
 
-        :raises keyvalue.KeyValueError: when that is not known to stand
+        :raises keyvalue.KeyValueError: when it is unknown whether the term was stored
         """
         fencing = self.leadership.fencing
-        if self.has_begun or not fencing:
+        if self.is_term_recorded or not fencing:
             return
         item = await self.store.read_key(TERMS_KEY)
         stored = _decode(item)
-        # This process has no order on its way from a term of its own: a tick awaits its orders.
-        earlier = tuple(
+        # Earlier terms of this process are skipped: a tick awaits its orders, so none of theirs is
+        # still in transit.
+        predecessors = tuple(
             term for term in stored if term.fencing < fencing and term.process != self.process
         )
         if fencing not in {term.fencing for term in stored}:
-            # An order may leave only after its sender stands in the list: a planner that is not
-            # in it would be unknown to its successor, who would not wait for it.
-            own = plan.Term(fencing, self.entry, self.process, self.peers_address)
-            if not await self._write(fencing, item, (*earlier, own)):
+            # A planner may send orders only after its term is in the list. Its successor would not
+            # know of a planner that is missing from it, and would not wait for that planner.
+            own_term = plan.Term(fencing, self.entry, self.process, self.peers_address)
+            if not await self._write(fencing, item, (*predecessors, own_term)):
                 return
-        self._begun, self._begun_at_s, self._earlier = fencing, trio.current_time(), earlier
-        if earlier:
-            names = sorted({term.entry for term in earlier})
-            events.log(LOGGER, events.Event.ORDERS_HELD, fencing=fencing, earlier=names)
+        self._recorded_fencing, self._recorded_at_s, self._predecessors = (
+            fencing,
+            trio.current_time(),
+            predecessors,
+        )
+        if predecessors:
+            entries = sorted({term.entry for term in predecessors})
+            events.log(LOGGER, events.Event.ORDERS_HELD, fencing=fencing, earlier=entries)
 
     async def run(self) -> None:
-        """Find out about earlier holders until cancelled."""
+        """Probe the holders of earlier terms until cancelled."""
         while True:
-            if self.has_begun and self.leadership.is_held():
-                await self._review()
+            if self.is_term_recorded and self.leadership.is_held():
+                await self._probe_predecessors()
             await trio.sleep(PROBE_INTERVAL_S)
 
-    async def _review(self) -> None:
-        for term in self.earlier():
+    async def _probe_predecessors(self) -> None:
+        for term in self.predecessors():
             if await self.probe.has_ended(term):
-                await self._drop((term,))
-        if self._earlier and not self.earlier():
-            await self._drop(self._earlier)
+                await self._remove_ended((term,))
+        if self._predecessors and not self.predecessors():
+            await self._remove_ended(self._predecessors)
 
-    async def _drop(self, ended: collections.abc.Sequence[plan.Term]) -> None:
-        self._earlier = tuple(term for term in self._earlier if term not in ended)
+    async def _remove_ended(self, ended: collections.abc.Sequence[plan.Term]) -> None:
+        self._predecessors = tuple(term for term in self._predecessors if term not in ended)
         for term in ended:
             events.log(
                 LOGGER, events.Event.PREDECESSOR_ENDED, entry=term.entry, fencing=term.fencing
             )
         try:
             item = await self.store.read_key(TERMS_KEY)
-            left = tuple(term for term in _decode(item) if term not in ended)
-            await self._write(self.leadership.fencing, item, left)
+            remaining = tuple(term for term in _decode(item) if term not in ended)
+            await self._write(self.leadership.fencing, item, remaining)
         except keyvalue.KeyValueError as error:
-            LOGGER.debug("the list of terms keeps an ended one: %s", error)
+            LOGGER.debug("ended terms not removed from the stored list: %s", error)
 
     async def _write(
         self, fencing: int, item: keyvalue.Item | None, terms: tuple[plan.Term, ...]
     ) -> bool:
         if not fencing:
-            # Zero would ask for a planner's key that does not exist, which is true between terms.
+            # A create revision of 0 would require that the planner key does not exist, which is the
+            # case between terms.
             return False
         conditions = [
             keyvalue.Condition(writing.PLANNER_KEY, create_revision=fencing),
@@ -143,5 +157,5 @@
     try:
         return codec.from_json(item.value, Terms).terms
     except codec.CodecError as error:
-        LOGGER.error("the stored list of planner terms is not readable: %s", error)
+        LOGGER.error("cannot decode the planner terms stored under %s: %s", TERMS_KEY, error)
         return ()
