--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -109,7 +109,7 @@
         for _ in range(4):
             in_flight.add("vm-0")
         report = client.Report("vm-0", "boot", client.Warmth.WARM, running=5, slots=8)
-        seen.record("vm-0", report, 1.0)
+        seen.record_report("vm-0", report, 1.0)
         option = candidates.Candidate(inventory.Vm("vm-0", "a", "z"), report)
         self.assertAlmostEqual(5 / 8, limits.load(RULES.services[0], option))
 
--- a/tests/test_planner_peers.py
+++ b/tests/test_planner_peers.py
@@ -28,8 +28,8 @@
         views = view.View(), view.View()
         peering.GenerationEndBroadcaster(near, views[0])
         peering.GenerationEndBroadcaster(far, views[1])
-        views[0].record("vm", client.Report("vm", "1", group="g/1", generation=1), 1.0)
-        views[0].record("vm", client.Report("vm", "2"), 2.0)
+        views[0].record_report("vm", client.Report("vm", "1", group="g/1", generation=1), 1.0)
+        views[0].record_report("vm", client.Report("vm", "2"), 2.0)
         self.assertTrue(views[1].is_ended("g/1", 1))
 
     def test_planner_acknowledges_only_a_term_that_is_over(self):
--- a/tools/capacity/state.py
+++ b/tools/capacity/state.py
@@ -127,7 +127,7 @@
         now_s = float(next(moment))
         for body in bodies:
             report = codec.from_json(body, client.Report)
-            seen.record(report.vm, report, now_s)
+            seen.record_report(report.vm, report, now_s)
 
     return _cpu_ms(take_in)
 
@@ -159,7 +159,7 @@
     seen = view.View()
     for number in range(vms):
         body = codec.to_json(sample_report(number))
-        seen.record(f"vm-{number:05d}", codec.from_json(body, client.Report), 1.0)
+        seen.record_report(f"vm-{number:05d}", codec.from_json(body, client.Report), 1.0)
     return seen
 
 
--- a/tools/measure/placement.py
+++ b/tools/measure/placement.py
@@ -87,7 +87,7 @@
         for revision, each in enumerate(placed.changed, 1):
             plans.apply(plan.VersionedDomainPlan(each, revision))
         for vm in configuration.inventory.vms:
-            seen.record(vm.vm, client.Report(vm.vm, "1"), trio.current_time())
+            seen.record_report(vm.vm, client.Report(vm.vm, "1"), trio.current_time())
         input_builder = input_building.PlacementInputBuilder(
             holder.ConfigurationHolder(configuration), plans, seen
         )
--- a/tools/measure/routing.py
+++ b/tools/measure/routing.py
@@ -221,4 +221,4 @@
 
 
 def _record(seen: view.View, report: client.Report, asked_at_s: float) -> None:
-    seen.record(report.vm, report, asked_at_s)
+    seen.record_report(report.vm, report, asked_at_s)
--- a/toucanhold/observing/__init__.py
+++ b/toucanhold/observing/__init__.py
@@ -1,1 +1,1 @@
-"""What this entry has seen of backend servers, each fact with its age."""
+"""This entry's observations of backend servers, each with its time."""
--- a/toucanhold/observing/poller.py
+++ b/toucanhold/observing/poller.py
@@ -1,4 +1,4 @@
-"""Asks each backend server for its load report, one task each."""
+"""Polls the load report of each backend server in a task of its own."""
 
 import random
 
@@ -16,35 +16,36 @@
 
 @attrs.define(eq=False)
 class Poller:
-    """Keeps a polling task for each VM of the inventory."""
+    """Runs a polling task for each VM of the inventory."""
 
     configuration: holder.ConfigurationHolder
     backends: client.BackendClient
     view: view.View
     rng: random.Random
-    _scopes: dict[inventory.Vm, trio.CancelScope] = attrs.field(factory=dict, init=False)
+    _poll_scopes: dict[inventory.Vm, trio.CancelScope] = attrs.field(factory=dict, init=False)
 
     async def run(self) -> None:
-        """Follow the inventory until cancelled."""
+        """Start and cancel polling tasks as the inventory changes, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                self._follow(nursery)
+                self._update_tasks(nursery)
                 await self.configuration.wait_changed()
 
-    def _follow(self, nursery: trio.Nursery) -> None:
-        wanted = set(self.configuration.current.inventory.vms)
-        for vm in set(self._scopes) - wanted:
-            self._scopes.pop(vm).cancel()
+    def _update_tasks(self, nursery: trio.Nursery) -> None:
+        listed_vms = set(self.configuration.current.inventory.vms)
+        for vm in set(self._poll_scopes) - listed_vms:
+            self._poll_scopes.pop(vm).cancel()
             self.view.forget(vm.vm)
-        for vm in wanted - set(self._scopes):
-            self._scopes[vm] = trio.CancelScope()
-            nursery.start_soon(self._poll, vm, self._scopes[vm])
+        for vm in listed_vms - set(self._poll_scopes):
+            self._poll_scopes[vm] = trio.CancelScope()
+            nursery.start_soon(self._poll, vm, self._poll_scopes[vm])
 
     async def _poll(self, vm: inventory.Vm, scope: trio.CancelScope) -> None:
         with scope:
             while True:
                 interval_s = await self._poll_once(vm)
-                # Without jitter all entries ask at the same moment and act on equally old reports.
+                # Without jitter all entries would poll at the same moment and act on equally old
+                # reports.
                 await trio.sleep(interval_s * self.rng.uniform(0.8, 1.2))
 
     async def _poll_once(self, vm: inventory.Vm) -> float:
@@ -60,5 +61,5 @@
         if report.vm != vm.vm:
             self.view.record_failure(vm.vm, trio.current_time(), f"{report.vm} answered instead")
         else:
-            self.view.record(vm.vm, report, asked_at_s)
+            self.view.record_report(vm.vm, report, asked_at_s)
         return POLL_INTERVAL_S
--- a/toucanhold/planning/placement.py
+++ b/toucanhold/planning/placement.py
@@ -80,10 +80,10 @@
             for each in planned.groups
             if each.service == group.service and not self.is_broken(each)
         ]
-        active = [each for each in unbroken if not any(is_out(vm, self) for vm in each.members)]
-        if len(active) < wanted:
-            return f"{len(active)} of {wanted} replicas were planned"
-        if service and any(not is_current(each, service) for each in active):
+        serving = [each for each in unbroken if not any(is_out(vm, self) for vm in each.members)]
+        if len(serving) < wanted:
+            return f"{len(serving)} of {wanted} replicas were planned"
+        if service and any(not is_current(each, service) for each in serving):
             return "a replica has an old version of the model"
         return "replicas are crowded in one availability zone"
 
--- a/toucanhold/planning/planner.py
+++ b/toucanhold/planning/planner.py
@@ -82,7 +82,7 @@
             nursery.start_soon(self.term_log.run)
             while True:
                 self._log_leadership_change()
-                self.view.keep_ended({group.group for group in self.plans.groups()})
+                self.view.prune_ended({group.group for group in self.plans.groups()})
                 substitution.adopt_complete_substitutes(self.input_builder, self.plans)
                 if self.configuration.current.number:
                     await self._plan_or_substitute()
--- a/toucanhold/planning/terms.py
+++ b/toucanhold/planning/terms.py
@@ -157,5 +157,5 @@
     try:
         return codec.from_json(item.value, Terms).terms
     except codec.CodecError as error:
-        LOGGER.error("cannot decode the planner terms stored under %s: %s", TERMS_KEY, error)
+        LOGGER.error("cannot decode the stored planner terms: %s", error)
         return ()
