--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -314,7 +314,7 @@
 
     async def _refresh_roster(self) -> int:
         result = await self.platform.read(roster.ENTRIES_PREFIX)
-        self.roster.replace(result.items)
+        self.roster.replace_listed(result.items)
         self._forget_gone_entries()
         return result.revision
 
--- a/toucanhold/membership/__init__.py
+++ b/toucanhold/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which entries there are: each one's record under a lease in the key-value service."""
+"""Membership of entries, from leased records in the key-value service and from peers."""
--- a/toucanhold/membership/facts.py
+++ b/toucanhold/membership/facts.py
@@ -1,4 +1,4 @@
-"""What entries say of themselves, heard from them or through others."""
+"""The state that entries publish about themselves, received directly or through peers."""
 
 import time
 
@@ -9,13 +9,14 @@
 
 @attrs.frozen
 class EntryFact:
-    """One entry's word on itself.
-
-    :ivar incarnation: start of its process, milliseconds of wall clock; grows with each restart
-    :ivar sequence: counts the changes of its word within one process
-    :ivar configuration: number of the configuration in force there
-    :ivar plan_revision: highest revision of the plan that it knows
-    :ivar holds: identifiers of the holds in force there
+    """The state that one entry publishes about itself.
+
+    :ivar member: the entry's membership record
+    :ivar incarnation: start of its process, in milliseconds of wall clock; grows with each restart
+    :ivar sequence: number of changes of this fact within one process
+    :ivar configuration: number of the configuration in force on the entry
+    :ivar plan_revision: highest revision of the plan on the entry
+    :ivar holds: identifiers of the holds in force on the entry
     """
 
     member: roster.Member
@@ -27,80 +28,94 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Tell which of two words of the same entry is the later one."""
+        """Sort key of the facts of one entry: the later fact has the greater one."""
         return self.incarnation, self.sequence
 
 
 @attrs.define(eq=False)
 class FactTable:
-    """The latest word of each entry, this one among them.
+    """The latest fact of each entry, including this one.
 
-    :ivar own: what this entry says of itself
+    :ivar own: this entry's own fact
     """
 
     own: EntryFact
     _facts: dict[str, EntryFact] = attrs.field(factory=dict, init=False)
-    _stamps: dict[str, int] = attrs.field(factory=dict, init=False)
-    _stamp: int = attrs.field(default=0, init=False)
-    _told: dict[str, int] = attrs.field(factory=dict, init=False)
+    _change_numbers: dict[str, int] = attrs.field(factory=dict, init=False)
+    _last_change_number: int = attrs.field(default=0, init=False)
+    _sent_numbers: dict[str, int] = attrs.field(factory=dict, init=False)
 
     def get(self, entry: str) -> EntryFact | None:
-        """Return an entry's latest word."""
+        """Return an entry's latest fact, or None."""
         return self.own if entry == self.own.member.entry else self._facts.get(entry)
 
     def others(self) -> tuple[EntryFact, ...]:
-        """Return the latest words of all other entries."""
+        """Return the latest facts of all other entries."""
         return tuple(self._facts.values())
 
     def update_own(self, **changes: object) -> None:
-        """Change this entry's own word."""
+        """Change fields of this entry's own fact; the sequence grows if any value differs."""
         changed = attrs.evolve(self.own, **changes)
         if changed != self.own:
             self.own = attrs.evolve(changed, sequence=self.own.sequence + 1)
-            self._note(self.own.member.entry)
+            self._mark_changed(self.own.member.entry)
 
     def merge(self, fact: EntryFact, source: str) -> bool:
-        """Take in an entry's word; false where a later one is known.
+        """Store another entry's fact; false if it is not later than the stored one.
 
-        :param source: the entry that told it
+        :param source: name of the entry from which the fact was received
         """
         entry = fact.member.entry
         if entry == self.own.member.entry:
             return False
-        known = self._facts.get(entry)
-        # A word that took a detour must not bring back an older one. An entry's own stream is
-        # always believed, since clocks differ: its new process may have started "earlier".
-        direct = source == entry and known is not None and known.incarnation != fact.incarnation
-        if known is not None and fact.version <= known.version and not direct:
+        stored = self._facts.get(entry)
+        # A delayed fact that arrives through another entry must not replace a later one. A changed
+        # incarnation on the entry's own stream is always accepted: clocks differ, so the start of
+        # the new process may appear to be earlier.
+        is_restart = (
+            source == entry and stored is not None and stored.incarnation != fact.incarnation
+        )
+        if stored is not None and fact.version <= stored.version and not is_restart:
             return False
         self._facts[entry] = fact
-        self._note(entry)
+        self._mark_changed(entry)
         return True
 
     def forget(self, entry: str) -> None:
-        """Drop an entry that is gone."""
+        """Remove an entry that has ended."""
         self._facts.pop(entry, None)
-        self._stamps.pop(entry, None)
+        self._change_numbers.pop(entry, None)
 
     def send_all_to(self, peer: str) -> None:
-        """Have the next :meth:`pending_for` return everything."""
-        self._told[peer] = -1
+        """Make the next :meth:`pending_for` for this peer return all facts."""
+        self._sent_numbers[peer] = -1
 
     def pending_for(self, peer: str) -> tuple[EntryFact, ...]:
-        """Return what changed since the last call for this peer; its own word is left out."""
-        told, self._told[peer] = self._told.get(peer, -1), self._stamp
+        """Return the facts changed since the last call for this peer, without the peer's own."""
+        sent_number, self._sent_numbers[peer] = (
+            self._sent_numbers.get(peer, -1),
+            self._last_change_number,
+        )
         own = self.own.member.entry
-        news = [fact for entry, fact in self._facts.items() if self._is_news(entry, told, peer)]
-        return (self.own, *news) if self._stamps.get(own, 0) > told else tuple(news)
+        pending = [
+            fact
+            for entry, fact in self._facts.items()
+            if self._is_pending(entry, sent_number, peer)
+        ]
+        return (
+            (self.own, *pending)
+            if self._change_numbers.get(own, 0) > sent_number
+            else tuple(pending)
+        )
 
-    def _is_news(self, entry: str, told: int, peer: str) -> bool:
-        return entry != peer and self._stamps.get(entry, 0) > told
+    def _is_pending(self, entry: str, sent_number: int, peer: str) -> bool:
+        return entry != peer and self._change_numbers.get(entry, 0) > sent_number
 
-    def _note(self, entry: str) -> None:
-        self._stamp += 1
-        self._stamps[entry] = self._stamp
+    def _mark_changed(self, entry: str) -> None:
+        self._last_change_number += 1
+        self._change_numbers[entry] = self._last_change_number
 
 
 def new_incarnation() -> int:
-    """Return the number of a process that starts now."""
+    """Return the incarnation of a process that starts now, in milliseconds of wall clock."""
     return time.time_ns() // 1_000_000
--- a/toucanhold/membership/roster.py
+++ b/toucanhold/membership/roster.py
@@ -1,4 +1,4 @@
-"""The entries, as the key-value service lists them."""
+"""The list of entries, from the key-value service and from peers."""
 
 import enum
 import logging
@@ -15,7 +15,7 @@
 
 
 class EntryState(enum.Enum):
-    """Whether callers should be sent to an entry."""
+    """Whether an entry accepts new callers."""
 
     SERVING = "serving"
     STOPPING = "stopping"
@@ -23,14 +23,15 @@
 
 @attrs.frozen
 class Member:
-    """An entry.
+    """The membership record of an entry.
 
     :ivar entry: unique name
-    :ivar availability_zone: where it runs
+    :ivar availability_zone: availability zone in which it runs
     :ivar callers_address: ``IP:port`` for callers
     :ivar operators_address: ``IP:port`` for operators
     :ivar peers_address: ``IP:port`` for other entries
-    :ivar boot: unique to its process: a restarted entry has the same name and another boot
+    :ivar state: whether it accepts new callers
+    :ivar boot: identifier of its process; a restarted entry has the same name and another boot
     """
 
     entry: str
@@ -44,59 +45,62 @@
 
 @attrs.define(eq=False)
 class Roster:
-    """The entries as the key-value service lists them and as peers name them.
+    """The known entries, from the list of the key-value service and from peers' own records.
 
-    While the key-value service is silent its last list is kept.
+    While the key-value service does not answer, its last list is kept.
+
+    :ivar own: this entry's membership record
     """
 
     own: Member
-    _listed: dict[str, Member] = attrs.field(factory=dict)
-    _heard: dict[str, Member] = attrs.field(factory=dict)
+    _listed_members: dict[str, Member] = attrs.field(factory=dict)
+    _peer_members: dict[str, Member] = attrs.field(factory=dict)
 
     def members(self) -> tuple[Member, ...]:
-        """Return all known entries, this one among them, in name order."""
-        known = self._listed | {self.own.entry: self.own}
-        for entry, member in self._heard.items():
-            known[entry] = _latest(known.get(entry), member)
-        return tuple(known[name] for name in sorted(known))
+        """Return all known entries, including this one, in name order."""
+        members_by_name = self._listed_members | {self.own.entry: self.own}
+        for entry, member in self._peer_members.items():
+            members_by_name[entry] = _later_member(members_by_name.get(entry), member)
+        return tuple(members_by_name[name] for name in sorted(members_by_name))
 
     def others(self) -> tuple[Member, ...]:
         """Return all known entries but this one."""
         return tuple(member for member in self.members() if member.entry != self.own.entry)
 
     def set_own_state(self, state: EntryState) -> None:
-        """Change what this entry says of itself."""
+        """Set the state in this entry's own record."""
         self.own = attrs.evolve(self.own, state=state)
 
-    def replace(self, items: tuple[keyvalue.Item, ...]) -> None:
-        """Take in the stored records."""
+    def replace_listed(self, items: tuple[keyvalue.Item, ...]) -> None:
+        """Replace the list of the key-value service; malformed records are skipped and logged."""
         members = {}
         for item in items:
             try:
                 member = codec.from_json(item.value, Member)
             except codec.CodecError as error:
-                LOGGER.warning("malformed entry record %s: %s", item.key, error)
+                LOGGER.warning("ignoring malformed entry record %s: %s", item.key, error)
                 continue
             members[member.entry] = member
-        self._listed = members
+        self._listed_members = members
 
     def is_listed(self, entry: str) -> bool:
-        """Tell whether the key-value service's last list has an entry."""
-        return entry in self._listed
+        """Return whether the key-value service's last list has an entry of this name."""
+        return entry in self._listed_members
 
     def update_from_peer(self, member: Member) -> None:
-        """Take in what an entry says of itself."""
+        """Store the record that an entry publishes about itself, received from a peer."""
         if member.entry != self.own.entry:
-            self._heard[member.entry] = member
+            self._peer_members[member.entry] = member
 
     def forget(self, entry: str) -> None:
-        """Drop what was heard of an entry that is gone."""
-        self._heard.pop(entry, None)
+        """Remove the record from peers of an entry that has ended."""
+        self._peer_members.pop(entry, None)
 
 
-def _latest(listed: Member | None, heard: Member) -> Member:
-    # The list lags behind what an entry says itself, but outlives it: after a restart the list
-    # may already have the new process while a peer's word is still of the old one.
-    if listed is None or listed.boot == heard.boot:
-        return heard
-    return listed if heard.state is EntryState.STOPPING else heard
+def _later_member(listed: Member | None, from_peer: Member) -> Member:
+    # For the same process the list lags behind the record that the entry itself publishes. After a
+    # restart, however, the list may already have the new process while peers still have the old
+    # one.
+    if listed is None or listed.boot == from_peer.boot:
+        return from_peer
+    return listed if from_peer.state is EntryState.STOPPING else from_peer
--- a/toucanhold/plans/__init__.py
+++ b/toucanhold/plans/__init__.py
@@ -1,1 +1,1 @@
-"""The plan as it is stored and told: records, and what an entry knows of them."""
+"""The plan: its stored records, and this entry's copy of them."""
--- a/toucanhold/plans/plan.py
+++ b/toucanhold/plans/plan.py
@@ -1,4 +1,4 @@
-"""The plan: one record for each fabric domain."""
+"""Records of the plan, one for each fabric domain, and this entry's copy of them."""
 
 import collections.abc
 import logging
@@ -17,12 +17,12 @@
 
 @attrs.frozen
 class Term:
-    """One holder's time as planner.
+    """The period for which one entry holds the planner lease without a break.
 
-    :ivar fencing: its fencing number
-    :ivar entry: the entry that held the lease
+    :ivar fencing: fencing number of the term
+    :ivar entry: name of the entry that held the lease
     :ivar process: identifier of the entry's process; a restarted entry has another
-    :ivar peers_address: where that process takes peers' connections
+    :ivar peers_address: ``IP:port`` at which that process accepts peers' connections
     """
 
     fencing: int
@@ -33,18 +33,19 @@
 
 @attrs.frozen
 class Group:
-    """A replica's VMs.
-
-    :ivar group: unique name; it tells the fabric domain
-    :ivar generation: grows with each new set of members; never used twice
-    :ivar service: the service that it serves
-    :ivar members: VM names by rank; rank 0 takes the requests
-    :ivar boots: boot ids of the members when they were chosen; empty where not recorded
-    :ivar model: the model that it loads; empty for the service's present one
-    :ivar version: the model's version
-    :ivar spare: the VM that may take a lost member's place while nothing can be decided
+    """The VMs that together run one replica.
+
+    :ivar group: unique name, made of the fabric domain and the generation
+    :ivar generation: grows with each new set of members; never used twice in a domain
+    :ivar service: name of the service
+    :ivar members: VM names by rank; rank 0 receives the requests
+    :ivar boots: boot ids of the members when they were chosen, by rank; empty if not recorded
+    :ivar model: the model to load; empty for the service's current one
+    :ivar version: the model's version; empty for the service's current one
+    :ivar formed: whether all members have joined; once set, a missing member ends the generation
+    :ivar spare: the VM that may replace a lost member while the key-value service is unavailable;
+        empty if there is none
     :ivar spare_boot: the spare's boot id
-    :ivar formed: all members have joined; from now on a member that is missing ends the generation
     """
 
     group: str
@@ -60,13 +61,16 @@
 
     @property
     def generation_key(self) -> tuple[str, int]:
-        """Group and generation, as members report them."""
+        """Name and generation of the group, as its members report them."""
         return (self.group, self.generation)
 
     def expects_boot(self, vm: str, boot_id: str) -> bool:
-        """Tell whether a member still runs the process that was chosen."""
-        # An engine that restarts between two reports and is ordered into the same generation
-        # again looks like one that never left; its boot id tells the two apart on every entry.
+        """Return whether ``boot_id`` is that of the process that was chosen as member.
+
+        :param vm: name of a member
+        """
+        # An engine that restarts between two reports and is ordered into the same generation again
+        # looks like one that never left. Only its boot id distinguishes the two on every entry.
         return not self.boots or self.boots[self.members.index(vm)] == boot_id
 
 
@@ -74,11 +78,13 @@
 class DomainPlan:
     """All groups of one fabric domain.
 
-    Groups never cross a fabric domain, so the compare-and-swap of this one record decides about
-    each of its VMs, and no VM can stand in two groups.
+    Groups never span fabric domains, so the compare-and-swap of this one record covers each of the
+    domain's VMs, and no VM can be in two groups.
 
-    :ivar fencing: the planner's fencing number
-    :ivar last_generation: highest generation ever used in the domain
+    :ivar domain: name of the fabric domain
+    :ivar fencing: fencing number of the planner that wrote the record
+    :ivar last_generation: highest generation used or reserved in the domain so far
+    :ivar groups: the planned groups
     """
 
     domain: str
@@ -87,13 +93,13 @@
     groups: tuple[Group, ...] = ()
 
     def group_of(self, vm: str) -> Group | None:
-        """Return the group that a VM is to be in."""
+        """Return the group that a VM is planned to be in, or None."""
         return next((group for group in self.groups if vm in group.members), None)
 
 
 @attrs.frozen
 class VersionedDomainPlan:
-    """A domain's plan and the revision at which it was written; 0 if never."""
+    """A domain's plan and the store's revision at which it was written; 0 if it never was."""
 
     plan: DomainPlan
     revision: int = 0
@@ -101,7 +107,7 @@
 
 @attrs.define(eq=False)
 class PlanHolder:
-    """The plan as this entry knows it.
+    """This entry's copy of the plan.
 
     :ivar change_count: number of changes applied; grows whenever a cached derivation is stale
     """
@@ -121,13 +127,13 @@
         return tuple(self._domains.values())
 
     def groups(self) -> collections.abc.Iterator[Group]:
-        """Yield every group."""
+        """Yield every planned group, or its substitute if one is set."""
         for versioned in self._domains.values():
             for group in versioned.plan.groups:
                 yield self._substitutes.get(group.generation_key, group)
 
     def group_of(self, vm: str, domain: str) -> Group | None:
-        """Return the group that a VM of ``domain`` is to be in, substitutes considered."""
+        """Return the group, or substitute, that a VM of ``domain`` is planned to be in, or None."""
         groups = (
             self._substitutes.get(group.generation_key, group)
             for group in self.domain(domain).plan.groups
@@ -135,15 +141,15 @@
         return next((group for group in groups if vm in group.members), None)
 
     def set_substitute(self, group: Group, substitute: Group) -> bool:
-        """Let ``substitute`` stand for a group until its record changes; false if one does."""
+        """Set a group's substitute until the group leaves the plan; false if one is set already."""
         if group.generation_key in self._substitutes:
             return False
         self._substitutes[group.generation_key] = substitute
-        self._signal()
+        self._notify_changed()
         return True
 
     def substitute_of(self, group: Group) -> Group | None:
-        """Return what stands for a group."""
+        """Return the substitute that is set for a group, or None."""
         return self._substitutes.get(group.generation_key)
 
     def substitutes(self) -> tuple[Group, ...]:
@@ -159,21 +165,21 @@
 
     @property
     def revision(self) -> int:
-        """The highest revision known."""
+        """The highest revision among all domains' plans; 0 without any."""
         return max((versioned.revision for versioned in self._domains.values()), default=0)
 
     def apply(self, versioned: VersionedDomainPlan) -> bool:
-        """Take in a domain's plan; false where a later one is known."""
-        # A late event must not revive a group whose VMs were given to another.
+        """Store a domain's plan; false if the same or a later revision is stored already."""
+        # A delayed event must not restore a group whose VMs were assigned to another one.
         old = self.domain(versioned.plan.domain)
         if versioned.revision <= old.revision:
             return False
         self._domains[versioned.plan.domain] = versioned
         self._keep_former(old.plan, versioned.plan)
-        self._signal()
+        self._notify_changed()
         return True
 
-    def _signal(self) -> None:
+    def _notify_changed(self) -> None:
         self.change_count += 1
         self._changed.set()
         self._changed = trio.Event()
@@ -183,9 +189,9 @@
         await self._changed.wait()
 
     def _keep_former(self, old: DomainPlan, new: DomainPlan) -> None:
-        planned = {group.generation_key for group in new.groups}
+        planned_keys = {group.generation_key for group in new.groups}
         for group in old.groups:
-            if group.generation_key not in planned:
+            if group.generation_key not in planned_keys:
                 self._former_groups[group.generation_key] = group
                 self._substitutes.pop(group.generation_key, None)
         while len(self._former_groups) > FORMER_GROUPS_KEPT:
@@ -193,10 +199,10 @@
 
 
 def substitute(group: Group, lost: str) -> Group:
-    """Return the group in which the spare has taken the place of ``lost``.
+    """Return the group in which the spare replaces the member ``lost``.
 
-    A pure function of the record: each member has a generation number of its own, reserved when the
-    group was formed, so that no two sets of members ever share one.
+    The result depends on the record alone. A generation number was reserved for each member when
+    the group was formed, so that no two sets of members ever share a number.
     """
     rank = group.members.index(lost)
     generation = group.generation + 1 + rank
@@ -224,6 +230,6 @@
 def from_item(item: keyvalue.Item) -> VersionedDomainPlan:
     """Decode a stored record.
 
-    :raises codec.CodecError: when it is malformed
+    :raises codec.CodecError: when the record is malformed
     """
     return VersionedDomainPlan(codec.from_json(item.value, DomainPlan), item.mod_revision)
