--- a/tests/scenes.py
+++ b/tests/planner_fixtures.py
@@ -1,4 +1,4 @@
-"""One fabric domain with engines and planners in memory, for tests on the test clock."""
+"""In-memory fabric domain with engines and planners, for tests on a mock clock."""
 
 import contextlib
 
@@ -16,7 +16,7 @@
 DRAFTS = rules.Service("drafts", model="writer", version="1", replicas=1, vms_per_replica=2)
 
 
-class KnownProbe(terms.PredecessorProbe):
+class FixedProbe(terms.PredecessorProbe):
     def __init__(self, ended):
         self.ended = ended
 
@@ -25,8 +25,11 @@
 
 
 @attrs.define(eq=False)
-class Scene:
-    """One fabric domain, its engines, and nodes started one by one."""
+class Site:
+    """One fabric domain, its engines, and entries that are started individually.
+
+    :ivar nodes: started entries by name
+    """
 
     nursery: trio.Nursery
     platform: memory.MemoryPlatform
@@ -54,7 +57,7 @@
     def engine(self, index):
         return list(self.engines.engines.values())[index]
 
-    def take_out(self, zone):
+    def take_zone_out(self, zone):
         for node in self.nodes.values():
             current = node.configuration.current
             node.configuration.current = attrs.evolve(
@@ -63,14 +66,14 @@
 
 
 @contextlib.asynccontextmanager
-async def scene(
+async def running_site(
     vms=3, fencing=inventory.Fencing.CHECKED, services=(DRAFTS,), probe=None, **options
 ):
     fleet_options = options.pop("engines", {})
     policy = options.pop("policy", None) or placement.FirstFit()
     listed = planners.new_vms(1, 1, vms, fencing)
     async with trio.open_nursery() as nursery:
-        yield Scene(
+        yield Site(
             nursery,
             memory.MemoryPlatform(),
             fleet.new_fleet(listed, nursery, **fleet_options),
@@ -82,11 +85,14 @@
 
 
 async def wait_until(condition, limit_s=20.0):
-    """Return the seconds until ``condition`` holds."""
+    """Wait until ``condition()`` is true and return the seconds that it took.
+
+    :raises AssertionError: after ``limit_s`` seconds
+    """
     started_s = trio.current_time()
     while not condition():
         if trio.current_time() - started_s > limit_s:
-            raise AssertionError(f"not within {limit_s} s")
+            raise AssertionError(f"the condition did not hold within {limit_s} s")
         await trio.sleep(0.05)
     return trio.current_time() - started_s
 
@@ -95,11 +101,11 @@
     trio.run(test, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def joins_of(engine):
+def join_orders_of(engine):
     return [order for _, order in engine.history if isinstance(order, client.JoinOrder)]
 
 
-def leaves_of(engine):
+def leave_times_s_of(engine):
     return [at_s for at_s, order in engine.history if isinstance(order, client.LeaveOrder)]
 
 
@@ -111,15 +117,15 @@
     return any(group.formed for group in node.plans.groups())
 
 
-def service_of(node, name):
+def service_of_group(node, name):
     return next(group.service for group in node.plans.groups() if group.group == name)
 
 
-def other_generation(node, before):
+def has_later_generation(node, before):
     return any(group.generation > before.generation for group in node.whole_groups())
 
 
-def planned_other(node, before):
+def is_no_longer_planned(node, before):
     return before.generation_key not in [group.generation_key for group in node.plans.groups()]
 
 
@@ -132,9 +138,9 @@
     return await site.platform.client("operator").read_key(plan.key_of("domain-0-0"))
 
 
-def has_spare(node):
+def has_recorded_spare(node):
     return any(group.spare for group in node.plans.groups())
 
 
-def address(site, name):
+def address_of(site, name):
     return next(engine.vm.address for engine in engines(site) if engine.vm.vm == name)
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -1,4 +1,4 @@
-"""A group that lost a member never serves again; orders come in time and in order."""
+"""Generations that lost a member never serve again; orders are timely and in sequence."""
 
 import unittest
 
@@ -7,23 +7,25 @@
 import trio.testing
 
 from standins import fleet
-from tests import scenes
+from tests import planner_fixtures
 from toucanhold.backends import client
 from toucanhold.configuration import inventory
 
 
 class GenerationTest(unittest.TestCase):
     def test_restarted_member_never_rejoins_its_generation(self):
-        # A draft comes back cut or mixed up. A member restarts within one polling interval, is
-        # ordered into the same generation again, and the group looks as if nothing had happened.
+        # A member restarts within one polling interval and is ordered into the same generation
+        # again. The group looks unchanged, but its answers would be truncated or mixed up.
         async def test():
-            async with scenes.scene() as site:
+            async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await scenes.wait_until(node.whole_groups)
+                await planner_fixtures.wait_until(node.whole_groups)
                 (before,) = node.whole_groups()
                 restarted_at_s = trio.current_time()
                 site.engine(1).restart()
-                await scenes.wait_until(lambda: scenes.other_generation(node, before))
+                await planner_fixtures.wait_until(
+                    lambda: planner_fixtures.has_later_generation(node, before)
+                )
                 late = [
                     order.generation
                     for at_s, order in site.engine(1).history
@@ -31,13 +33,13 @@
                 ]
                 self.assertNotIn(before.generation, late)
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
-    def test_restarted_member_put_back_by_someone_else_does_not_count(self):
+    def test_restarted_member_that_obeys_its_old_order_does_not_count(self):
         async def test():
-            async with scenes.scene() as site:
+            async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await scenes.wait_until(node.whole_groups)
+                await planner_fixtures.wait_until(node.whole_groups)
                 site.platform.set_mode("down", "node")
                 engine = site.engine(1)
                 order = engine.place
@@ -46,15 +48,15 @@
                 await trio.sleep(3)
                 self.assertEqual([], node.whole_groups())
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
-    def test_member_that_left_and_came_back_does_not_count(self):
-        # Between two polls of the planner a member leaves and is put back by an order that came
-        # late. This entry saw it outside; the requests it had there are gone.
+    def test_member_that_left_and_rejoined_does_not_count(self):
+        # A member leaves between two polls of the planner and rejoins by a delayed order. This
+        # entry observed it outside the group; the requests that it ran are lost.
         async def test():
-            async with scenes.scene() as site:
+            async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await scenes.wait_until(node.whole_groups)
+                await planner_fixtures.wait_until(node.whole_groups)
                 site.platform.set_mode("down", "node")
                 engine = site.engine(1)
                 order, engine.place = engine.place, None
@@ -63,59 +65,66 @@
                 await trio.sleep(3)
                 self.assertEqual([], node.whole_groups())
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
-    def test_entry_that_starts_late_does_not_take_a_restarted_member_for_a_whole_group(self):
-        # The entry never saw the member before its restart; only the boot id on record tells.
+    def test_entry_that_starts_later_rejects_a_group_with_a_restarted_member(self):
+        # The entry has no report of the member from before its restart; only the boot id in the
+        # plan reveals the restart.
         async def test():
-            async with scenes.scene() as site:
+            async with planner_fixtures.running_site() as site:
                 old = site.start("old")
-                await scenes.wait_until(lambda: scenes.is_formed(old))
+                await planner_fixtures.wait_until(lambda: planner_fixtures.is_formed(old))
                 (before,) = old.whole_groups()
                 old.scope.cancel()
                 order = site.engine(1).place
                 site.engine(1).restart()
                 site.engine(1).obey(order)
                 late = site.start("late")
-                while not scenes.other_generation(late, before):
+                while not planner_fixtures.has_later_generation(late, before):
                     self.assertEqual([], late.whole_groups())
                     await trio.sleep(0.05)
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
-    def test_member_that_forgets_its_group_ends_the_generation(self):
+    def test_member_that_reports_no_group_ends_the_generation(self):
         async def test():
-            async with scenes.scene() as site:
+            async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await scenes.wait_until(node.whole_groups)
+                await planner_fixtures.wait_until(node.whole_groups)
                 (before,) = node.whole_groups()
                 site.engine(0).place = None
-                await scenes.wait_until(lambda: scenes.other_generation(node, before))
+                await planner_fixtures.wait_until(
+                    lambda: planner_fixtures.has_later_generation(node, before)
+                )
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
-    def test_forgetful_member_is_known_to_a_planner_that_never_saw_it_joined(self):
-        # The first planner saw the group whole and wrote that down. Its successor knows only the
-        # record and a member without a group: the group is over, not still being formed.
+    def test_successor_ends_a_formed_group_whose_member_reports_no_group(self):
+        # The first planner recorded that the group was formed. Its successor has only the record
+        # and a member that reports no group: the group has ended, it is not still being formed.
         async def test():
-            async with scenes.scene() as site:
+            async with planner_fixtures.running_site() as site:
                 old = site.start("old")
-                await scenes.wait_until(lambda: scenes.is_formed(old))
+                await planner_fixtures.wait_until(lambda: planner_fixtures.is_formed(old))
                 (before,) = old.whole_groups()
                 old.scope.cancel()
                 site.engine(0).place = None
                 new = site.start("new")
-                await scenes.wait_until(lambda: scenes.other_generation(new, before))
-                joins = [order.generation for order in scenes.joins_of(site.engine(0))]
+                await planner_fixtures.wait_until(
+                    lambda: planner_fixtures.has_later_generation(new, before)
+                )
+                joins = [
+                    order.generation for order in planner_fixtures.join_orders_of(site.engine(0))
+                ]
                 self.assertEqual(1, joins.count(before.generation))
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
     def test_member_that_only_paused_keeps_its_generation(self):
         async def test():
-            async with scenes.scene() as site:
+            async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await scenes.wait_until(node.whole_groups)
+                await planner_fixtures.wait_until(node.whole_groups)
                 (before,) = node.whole_groups()
                 site.engine(1).mode = fleet.Mode.SILENT
                 await trio.sleep(1.5)
@@ -125,18 +134,20 @@
                     [before.generation_key], [group.generation_key for group in node.whole_groups()]
                 )
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
     def test_refused_connection_ends_a_generation_sooner_than_silence(self):
         waits_s = {}
 
         async def test(mode):
-            async with scenes.scene() as site:
+            async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await scenes.wait_until(node.whole_groups)
+                await planner_fixtures.wait_until(node.whole_groups)
                 (before,) = node.whole_groups()
                 site.engine(1).mode = mode
-                waits_s[mode] = await scenes.wait_until(lambda: scenes.planned_other(node, before))
+                waits_s[mode] = await planner_fixtures.wait_until(
+                    lambda: planner_fixtures.is_no_longer_planned(node, before)
+                )
 
         for mode in (fleet.Mode.REFUSING, fleet.Mode.SILENT):
             trio.run(test, mode, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -146,98 +157,108 @@
 
 class LeaveTest(unittest.TestCase):
     def test_planned_leave_waits_for_requests_on_every_member_and_starts_at_the_first(self):
-        # A draft is cut short though its zone was taken out in good order. The request is counted
-        # on another member than the one that was looked at; or a member leaves before the first
-        # one, which goes on taking requests for a group that is no longer whole.
+        # An answer is truncated although its zone was taken out as planned. Either the request was
+        # counted on a member that was not checked, or another member left before the first one,
+        # which kept accepting requests for an incomplete group.
         async def test():
-            async with scenes.scene() as site:
+            async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await scenes.wait_until(node.whole_groups)
+                await planner_fixtures.wait_until(node.whole_groups)
                 (group,) = node.whole_groups()
                 site.engine(1).running = 1
-                site.take_out("zone-0")
+                site.take_zone_out("zone-0")
                 await trio.sleep(10)
-                self.assertEqual([[], []], [scenes.leaves_of(site.engine(each)) for each in (0, 1)])
+                self.assertEqual(
+                    [[], []],
+                    [planner_fixtures.leave_times_s_of(site.engine(each)) for each in (0, 1)],
+                )
                 site.engine(1).running = 0
-                await scenes.wait_until(lambda: scenes.leaves_of(site.engine(1)))
+                await planner_fixtures.wait_until(
+                    lambda: planner_fixtures.leave_times_s_of(site.engine(1))
+                )
                 self.assertLess(
-                    scenes.leaves_of(site.engine(0))[0],
-                    scenes.leaves_of(site.engine(1))[0],
+                    planner_fixtures.leave_times_s_of(site.engine(0))[0],
+                    planner_fixtures.leave_times_s_of(site.engine(1))[0],
                 )
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
-    def test_group_that_lost_a_member_is_disbanded_at_once(self):
+    def test_members_of_a_broken_group_leave_despite_running_requests(self):
         async def test():
-            async with scenes.scene() as site:
+            async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await scenes.wait_until(node.whole_groups)
+                await planner_fixtures.wait_until(node.whole_groups)
                 site.engine(0).running = 3
                 site.engine(1).mode = fleet.Mode.REFUSING
-                waited_s = await scenes.wait_until(lambda: scenes.leaves_of(site.engine(0)))
+                waited_s = await planner_fixtures.wait_until(
+                    lambda: planner_fixtures.leave_times_s_of(site.engine(0))
+                )
                 self.assertLess(waited_s, 2)
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
-    def test_engine_in_a_group_that_nobody_planned_is_ordered_to_leave(self):
+    def test_engine_in_an_unplanned_group_is_ordered_to_leave(self):
         async def test():
-            async with scenes.scene() as site:
+            async with planner_fixtures.running_site() as site:
                 engine = site.engine(2)
                 engine.place = client.JoinOrder("other/1", 1, 0, 1, (), "writer", "1")
                 node = site.start("node")
-                await scenes.wait_until(lambda: scenes.leaves_of(engine))
+                await planner_fixtures.wait_until(lambda: planner_fixtures.leave_times_s_of(engine))
                 self.assertNotIn("other/1", [group.group for group in node.whole_groups()])
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
 
 class OrderTest(unittest.TestCase):
     def test_late_order_does_not_undo_a_newer_one(self):
-        # An order to join is held up on its way, its group ends, the VM joins another, and then
-        # the old order arrives. An engine that checks refuses it, since each order carries the
-        # revision of the plan; one that does not gets no newer order until that time has passed.
+        # A join order is delayed in transit. Meanwhile its group ends, the VM joins another one,
+        # and then the old order arrives. An engine that checks fencing refuses it, because each
+        # order carries the revision of the plan; one that ignores fencing gets no newer order until
+        # a delayed one can no longer arrive.
         for fencing in inventory.Fencing:
             with self.subTest(fencing=fencing):
-                scenes.run(lambda fencing=fencing: self._late_order(fencing))
+                planner_fixtures.run(lambda fencing=fencing: self._late_order(fencing))
 
     async def _late_order(self, fencing):
-        async with scenes.scene(fencing=fencing) as site:
+        async with planner_fixtures.running_site(fencing=fencing) as site:
             site.engine(1).order_delay_s = 8.0
             node = site.start("node")
-            await scenes.wait_until(lambda: list(node.plans.groups()))
+            await planner_fixtures.wait_until(lambda: list(node.plans.groups()))
             await trio.sleep(0.5)
             site.engine(1).order_delay_s = 0
             site.engine(0).mode = fleet.Mode.REFUSING
-            await scenes.wait_until(node.whole_groups, 40)
+            await planner_fixtures.wait_until(node.whole_groups, 40)
             (group,) = node.whole_groups()
             await trio.sleep(20)
             self.assertEqual(
                 [group.generation_key], [each.generation_key for each in node.whole_groups()]
             )
 
-    def test_loads_are_bounded_and_the_most_important_go_first(self):
+    def test_concurrent_loads_are_bounded_and_ordered_by_importance(self):
         async def test():
             services = (
-                attrs.evolve(scenes.DRAFTS, name="a", importance=1),
-                attrs.evolve(scenes.DRAFTS, name="b", importance=9),
-                attrs.evolve(scenes.DRAFTS, name="c", importance=5),
+                attrs.evolve(planner_fixtures.DRAFTS, name="a", importance=1),
+                attrs.evolve(planner_fixtures.DRAFTS, name="b", importance=9),
+                attrs.evolve(planner_fixtures.DRAFTS, name="c", importance=5),
             )
             options = {"services": services, "max_loading_vms": 2, "engines": {"load_s": 5.0}}
-            async with scenes.scene(vms=6, **options) as site:
+            async with planner_fixtures.running_site(vms=6, **options) as site:
                 node = site.start("node")
                 most = 0
                 while len(node.whole_groups()) < 3:
-                    loading = sum(engine.report().loading for engine in scenes.engines(site))
+                    loading = sum(
+                        engine.report().loading for engine in planner_fixtures.engines(site)
+                    )
                     most = max(most, loading)
                     await trio.sleep(0.1)
                     if trio.current_time() > 60:
-                        self.fail("not formed in time")
+                        self.fail("the groups were not formed within 60 s")
                 self.assertEqual(2, most)
                 first = {}
-                for engine in scenes.engines(site):
+                for engine in planner_fixtures.engines(site):
                     for at_s, order in engine.history:
-                        service = scenes.service_of(node, order.group)
+                        service = planner_fixtures.service_of_group(node, order.group)
                         first[service] = min(first.get(service, at_s), at_s)
                 self.assertEqual(["b", "c", "a"], sorted(first, key=first.get))
 
-        scenes.run(test)
+        planner_fixtures.run(test)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""The chosen placement and the preview of changes."""
+"""The spreading placement policy and the preview of changes."""
 
 import collections
 import unittest
@@ -22,8 +22,8 @@
 
 
 def new_inputs(vms, services, plans=None, lost=(), zones_out=(), reports=None, **fields):
-    other = {name: fields.pop(name) for name in ("availability_zones",) if name in fields}
-    configuration = planners.new_configuration(vms, services, zones_out, **other)
+    other_rules = {name: fields.pop(name) for name in ("availability_zones",) if name in fields}
+    configuration = planners.new_configuration(vms, services, zones_out, **other_rules)
     usable = frozenset(
         vm.vm for vm in vms if vm.vm not in lost and vm.availability_zone not in zones_out
     )
@@ -33,14 +33,14 @@
     )
 
 
-def settle(inputs, formed=True):
-    """Return the facts once the placement is carried out, and the placement."""
+def apply_placement(inputs, formed=True):
+    """Return the inputs after the placement has been applied, and the placement."""
     placed = POLICY.place(inputs)
     plans = dict(inputs.plans) | {each.domain: each for each in placed.changed}
-    return attrs.evolve(inputs, plans=form(plans) if formed else plans), placed
+    return attrs.evolve(inputs, plans=mark_formed(plans) if formed else plans), placed
 
 
-def form(plans):
+def mark_formed(plans):
     return {
         domain: attrs.evolve(
             each, groups=tuple(attrs.evolve(group, formed=True) for group in each.groups)
@@ -50,7 +50,7 @@
 
 
 def with_reports(inputs):
-    """Return the facts once all members report their groups."""
+    """Return the inputs after all members have reported their groups."""
     reports = dict(inputs.reports)
     for group in groups_of(inputs):
         for rank, member in enumerate(group.members):
@@ -79,28 +79,28 @@
     )
 
 
-def started(vms, services, **fields):
-    return with_reports(settle(new_inputs(vms, services, **fields))[0])
+def new_formed_inputs(vms, services, **fields):
+    return with_reports(apply_placement(new_inputs(vms, services, **fields))[0])
 
 
-def lose(inputs, *names):
+def with_lost(inputs, *names):
     return attrs.evolve(
         inputs, usable=inputs.usable - set(names), lost=inputs.lost | frozenset(names)
     )
 
 
 class SpreadTest(unittest.TestCase):
-    def test_replicas_stand_in_different_zones(self):
-        after = started(planners.new_vms(3, 2, 4), [service(replicas=3)])
+    def test_replicas_are_placed_in_different_zones(self):
+        after = new_formed_inputs(planners.new_vms(3, 2, 4), [service(replicas=3)])
         self.assertEqual({"zone-0": 1, "zone-1": 1, "zone-2": 1}, zones_of(after, "drafts"))
 
-    def test_single_replica_stands_where_no_hot_day_drains_it(self):
+    def test_single_replica_is_placed_in_a_zone_that_is_not_drainable(self):
         zones = tuple(rules.AvailabilityZone(f"zone-{each}", each != 2) for each in range(3))
         vms = planners.new_vms(3, 1, 4)
-        after = started(vms, [service()], availability_zones=zones)
+        after = new_formed_inputs(vms, [service()], availability_zones=zones)
         self.assertEqual({"zone-2": 1}, zones_of(after, "drafts"))
 
-    def test_large_vms_are_left_to_those_who_need_them(self):
+    def test_large_vms_stay_free_for_services_that_need_them(self):
         small = planners.new_vms(1, 1, 2, accelerators=4)
         large = [
             attrs.evolve(vm, vm=f"a{vm.vm}", address=f"127.9.9.9:{index + 1}", accelerators=8)
@@ -110,33 +110,34 @@
             service("any", importance=9, accelerators_per_vm=4),
             service("large", importance=1, accelerators_per_vm=8),
         ]
-        after = started(small + large, services)
+        after = new_formed_inputs(small + large, services)
         self.assertEqual(2, len(groups_of(after)))
 
-    def test_sizes_are_packed_when_room_is_scarce(self):
-        # Two fabric domains of four: the pairs share one, so that the four find room.
+    def test_groups_are_packed_when_capacity_is_scarce(self):
+        # With two fabric domains of four VMs, both groups of two must share one domain to leave
+        # room for the group of four.
         services = [service("pair", importance=9, replicas=2), service("four", vms_per_replica=4)]
-        after = started(planners.new_vms(1, 2, 4), services)
+        after = new_formed_inputs(planners.new_vms(1, 2, 4), services)
         self.assertEqual(3, len(groups_of(after)))
 
-    def test_important_service_takes_the_place_of_a_lesser_one_but_not_of_an_equal(self):
+    def test_service_preempts_a_less_important_one_but_not_an_equal_one(self):
         vms = planners.new_vms(1, 1, 4)
-        first = started(vms, [service("old", replicas=2, importance=5)])
+        first = new_formed_inputs(vms, [service("old", replicas=2, importance=5)])
         for importance, expected in ((9, ["new", "old"]), (5, ["old", "old"])):
             services = [
                 service("old", replicas=2, importance=5),
                 service("new", importance=importance),
             ]
             inputs = new_inputs(vms, services, plans=first.plans, reports=first.reports)
-            after, _ = settle(inputs)
+            after, _ = apply_placement(inputs)
             self.assertEqual(expected, sorted(group.service for group in groups_of(after)))
 
 
 class FailureTest(unittest.TestCase):
-    def test_spare_of_the_same_domain_takes_the_place_and_others_stay(self):
-        before = started(planners.new_vms(3, 2, 5), [service(replicas=6)])
+    def test_spare_of_the_same_domain_replaces_a_lost_member_and_other_groups_stay(self):
+        before = new_formed_inputs(planners.new_vms(3, 2, 5), [service(replicas=6)])
         victim = groups_of(before)[0]
-        after, placed = settle(lose(before, victim.members[1]))
+        after, placed = apply_placement(with_lost(before, victim.members[1]))
         self.assertEqual(1, len(placed.changed))
         kept = set(groups_of(before)) - {victim}
         self.assertTrue(kept <= set(groups_of(after)))
@@ -145,98 +146,103 @@
         self.assertGreater(new.generation, victim.generation)
 
     def test_two_broken_groups_of_a_domain_are_merged(self):
-        before = started(planners.new_vms(1, 1, 4), [service(replicas=2)])
+        before = new_formed_inputs(planners.new_vms(1, 1, 4), [service(replicas=2)])
         first, second = groups_of(before)
-        after, placed = settle(lose(before, first.members[0], second.members[1]))
+        after, placed = apply_placement(with_lost(before, first.members[0], second.members[1]))
         (merged,) = groups_of(after)
         self.assertEqual({first.members[1], second.members[0]}, set(merged.members))
         self.assertEqual(1, placed.shortfalls[0].placed)
 
-    def test_vm_that_holds_the_model_goes_first(self):
+    def test_vms_that_have_loaded_the_model_are_preferred(self):
         vms = planners.new_vms(1, 2, 3)
         loaded = {
             vm.vm: client.Report(vm.vm, "1", model="drafts-model", version="1")
             for vm in vms
             if vm.vm in ("vm-0-1-1", "vm-0-1-2")
         }
-        after, _ = settle(new_inputs(vms, [service()], reports=loaded))
+        after, _ = apply_placement(new_inputs(vms, [service()], reports=loaded))
         self.assertEqual({"vm-0-1-1", "vm-0-1-2"}, set(groups_of(after)[0].members))
 
-    def test_dark_domain_that_returns_moves_nothing_before_it_is_settled(self):
-        # A fabric domain goes dark, its group is formed elsewhere; when it comes back the new
-        # group would end at once for the sake of spread, and load its model a third time.
-        before = started(planners.new_vms(2, 1, 4), [service(replicas=2)])
-        dark = _vms_in(before, "zone-1")
-        moved, _ = settle(lose(before, *dark))
+    def test_domain_that_becomes_reachable_again_moves_no_group_until_settled(self):
+        # A fabric domain becomes unreachable and its group is formed elsewhere. When the domain is
+        # reachable again, the new group would end at once for the sake of spread, and its model
+        # would be loaded a third time.
+        before = new_formed_inputs(planners.new_vms(2, 1, 4), [service(replicas=2)])
+        unreachable = _vms_in(before, "zone-1")
+        moved, _ = apply_placement(with_lost(before, *unreachable))
         self.assertEqual({"zone-0": 2}, zones_of(moved, "drafts"))
-        back = attrs.evolve(moved, usable=before.usable, lost=frozenset(), settled_s=5.0)
-        back = with_reports(back)
-        self.assertEqual((), POLICY.place(back).changed)
-        moving, _ = settle(attrs.evolve(back, settled_s=1000.0), formed=False)
+        recovered = attrs.evolve(moved, usable=before.usable, lost=frozenset(), settled_s=5.0)
+        recovered = with_reports(recovered)
+        self.assertEqual((), POLICY.place(recovered).changed)
+        moving, _ = apply_placement(attrs.evolve(recovered, settled_s=1000.0), formed=False)
         self.assertEqual({"zone-0": 2, "zone-1": 1}, zones_of(moving, "drafts"))
         self.assertEqual((), POLICY.place(moving).changed)
-        done, _ = settle(with_reports(attrs.evolve(moving, plans=form(moving.plans))))
+        done, _ = apply_placement(
+            with_reports(attrs.evolve(moving, plans=mark_formed(moving.plans)))
+        )
         self.assertEqual({"zone-0": 1, "zone-1": 1}, zones_of(done, "drafts"))
 
 
 class VersionTest(unittest.TestCase):
-    def _changed(self, vms):
-        before = started(vms, [service(replicas=2)])
+    def _with_new_version(self, vms):
+        before = new_formed_inputs(vms, [service(replicas=2)])
         newer = service(replicas=2, version="2")
         return before, new_inputs(vms, [newer], plans=before.plans, reports=before.reports)
 
     def test_new_version_serves_before_the_old_one_leaves(self):
-        before, inputs = self._changed(planners.new_vms(2, 1, 4))
-        during, _ = settle(inputs, formed=False)
+        before, inputs = self._with_new_version(planners.new_vms(2, 1, 4))
+        during, _ = apply_placement(inputs, formed=False)
         self.assertEqual(["1", "1", "2"], sorted(group.version for group in groups_of(during)))
         self.assertEqual((), POLICY.place(during).changed)
         for _ in range(6):
-            during, _ = settle(with_reports(attrs.evolve(during, plans=form(during.plans))))
+            during, _ = apply_placement(
+                with_reports(attrs.evolve(during, plans=mark_formed(during.plans)))
+            )
             self.assertGreaterEqual(len(groups_of(during)), 2)
         self.assertEqual(["2", "2"], [group.version for group in groups_of(during)])
 
     def test_without_room_one_replica_is_replaced_at_a_time(self):
-        before, inputs = self._changed(planners.new_vms(2, 1, 2))
-        during, _ = settle(inputs, formed=False)
+        before, inputs = self._with_new_version(planners.new_vms(2, 1, 2))
+        during, _ = apply_placement(inputs, formed=False)
         self.assertEqual(["1", "2"], sorted(group.version for group in groups_of(during)))
         self.assertEqual((), POLICY.place(during).changed)
 
 
 class ZoneTest(unittest.TestCase):
-    def test_zone_out_is_replaced_and_comes_back_without_loading_anew(self):
-        before = started(planners.new_vms(3, 1, 4), [service(replicas=3)])
-        out = _zones_out(before, "zone-1")
-        during, placed = settle(out)
+    def test_returned_zone_resumes_its_groups_without_reloading(self):
+        before = new_formed_inputs(planners.new_vms(3, 1, 4), [service(replicas=3)])
+        out = _with_zones_out(before, "zone-1")
+        during, placed = apply_placement(out)
         self.assertEqual((), placed.shortfalls)
-        self.assertTrue(_places(before) <= _places(during))
+        self.assertTrue(_generation_keys(before) <= _generation_keys(during))
         during = with_reports(during)
-        back = attrs.evolve(
+        recovered = attrs.evolve(
             during, configuration=before.configuration, usable=before.usable, settled_s=0.0
         )
-        after, _ = settle(back)
+        after, _ = apply_placement(recovered)
         self.assertEqual({"zone-0": 1, "zone-1": 1, "zone-2": 1}, zones_of(after, "drafts"))
-        self.assertTrue(_places(after) <= _places(during))
+        self.assertTrue(_generation_keys(after) <= _generation_keys(during))
 
-    def test_returned_cold_group_does_not_take_the_place_of_a_warm_one(self):
-        before = started(planners.new_vms(2, 1, 4), [service(replicas=2)])
-        during = with_reports(settle(_zones_out(before, "zone-1"))[0])
+    def test_returned_cold_group_does_not_replace_a_warm_one(self):
+        before = new_formed_inputs(planners.new_vms(2, 1, 4), [service(replicas=2)])
+        during = with_reports(apply_placement(_with_zones_out(before, "zone-1"))[0])
         cold = {
             name: attrs.evolve(report, warmth=client.Warmth.COLD)
             for name, report in during.reports.items()
             if name in _vms_in(during, "zone-1")
         }
-        back = attrs.evolve(
+        recovered = attrs.evolve(
             during,
             configuration=before.configuration,
             usable=before.usable,
             reports=during.reports | cold,
         )
-        after, _ = settle(back)
+        after, _ = apply_placement(recovered)
         self.assertEqual({"zone-0": 2, "zone-1": 1}, zones_of(after, "drafts"))
 
-    def test_preview_tells_what_falls_short_and_what_is_in_flight(self):
+    def test_preview_reports_shortfalls_and_requests_in_flight(self):
         services = [service("a", replicas=3, importance=9), service("b", replicas=3)]
-        before = started(planners.new_vms(3, 1, 4), services)
+        before = new_formed_inputs(planners.new_vms(3, 1, 4), services)
         busy = _vms_in(before, "zone-1")[0]
         reports = dict(before.reports)
         reports[busy] = attrs.evolve(reports[busy], running=4)
@@ -251,7 +257,7 @@
 
 
 @strategies.composite
-def sites(draw):
+def site_cases(draw):
     vms = planners.new_vms(draw(strategies.integers(1, 3)), draw(strategies.integers(1, 2)), 5)
     vms = [
         attrs.evolve(vm, accelerators=draw(strategies.sampled_from((4, 8))))
@@ -276,17 +282,17 @@
 
 class AnySiteTest(unittest.TestCase):
     @hypothesis.settings(max_examples=150, deadline=None, derandomize=True)
-    @hypothesis.given(sites())
-    def test_groups_are_disjoint_whole_and_stay(self, site):
-        # Whatever dies and returns: no VM in two groups, no group across fabric domains, no
-        # generation twice, and a second look at the same facts changes nothing.
+    @hypothesis.given(site_cases())
+    def test_groups_are_disjoint_complete_and_stable(self, site):
+        # Whichever VMs fail and recover: no VM is in two groups, no group spans fabric domains, no
+        # generation is used twice, and a second decision on the same inputs changes nothing.
         vms, services, rounds = site
         inputs = new_inputs(vms, services, generation_floor=7)
         used = set()
         for lost in rounds:
             inputs = attrs.evolve(inputs, usable=frozenset(inputs.vms) - lost, lost=frozenset(lost))
             known = {group.generation_key for group in groups_of(inputs)}
-            inputs, _ = settle(inputs)
+            inputs, _ = apply_placement(inputs)
             new = {group.generation_key for group in groups_of(inputs)} - known
             self.assertFalse(new & used)
             used |= new
@@ -311,7 +317,7 @@
             self.assertTrue(all(group.generation <= each.last_generation for group in each.groups))
 
 
-def _places(inputs):
+def _generation_keys(inputs):
     return {group.generation_key for group in groups_of(inputs)}
 
 
@@ -319,7 +325,7 @@
     return [vm.vm for vm in inputs.configuration.inventory.vms if vm.availability_zone == zone]
 
 
-def _zones_out(inputs, *zones):
+def _with_zones_out(inputs, *zones):
     configuration = attrs.evolve(inputs.configuration, zones_out=frozenset(zones))
     gone = {name for zone in zones for name in _vms_in(inputs, zone)}
     return attrs.evolve(inputs, configuration=configuration, usable=inputs.usable - gone)
--- a/tests/test_planner_peers.py
+++ b/tests/test_planner_peers.py
@@ -1,4 +1,4 @@
-"""What planners tell each other, and what they do while nothing can be decided."""
+"""Messages between planners, and substitutions while the key-value service is unavailable."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 import trio.testing
 
 from standins import fleet
-from tests import scenes
+from tests import planner_fixtures
 from toucanhold.backends import client
 from toucanhold.configuration import inventory
 from toucanhold.observing import view
@@ -23,7 +23,7 @@
         far.attach("near", _Wire(near, "far"))
         return near, far
 
-    def test_departure_seen_by_one_entry_ends_the_generation_on_the_other(self):
+    def test_departure_observed_by_one_entry_ends_the_generation_on_the_other(self):
         near, far = self._pair()
         views = view.View(), view.View()
         peering.GenerationEndBroadcaster(near, views[0])
@@ -34,10 +34,10 @@
 
     def test_planner_acknowledges_only_a_term_that_is_over(self):
         async def test():
-            async with scenes.scene() as site:
+            async with planner_fixtures.running_site() as site:
                 near, far = self._pair()
                 old = site.start("old")
-                await scenes.wait_until(lambda: old.planner.term_log.is_term_recorded)
+                await planner_fixtures.wait_until(lambda: old.planner.term_log.is_term_recorded)
                 peering.StepDownResponder(far, old.planner)
                 probe = peering.PeerProbe(near, _Transport("nobody answers"))
                 own = plan.Term(old.lease.fencing, "far", old.planner.process, "far:1")
@@ -51,34 +51,37 @@
                 await trio.sleep(5)
                 self.assertTrue(await _asked_twice(probe, own))
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
-    def test_only_a_refused_connection_shows_that_an_earlier_planner_is_gone(self):
+    def test_only_a_refused_connection_shows_that_an_earlier_planner_has_ended(self):
         async def test():
             for cause, expected in ((ConnectionRefusedError(), True), (TimeoutError(), False)):
                 probe = peering.PeerProbe(exchange.Exchange(), _Transport("failed", cause))
                 term = plan.Term(1, "gone", "p", "127.0.0.1:1")
                 self.assertEqual(expected, await probe.has_ended(term))
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
 
 class OutageTest(unittest.TestCase):
-    def test_recorded_spare_takes_the_place_of_a_lost_member(self):
-        # A replica stays down until the key-value service returns, perhaps for hours: nothing new
-        # can be decided. The last accepted plan names a spare and reserves a generation for it.
+    def test_recorded_spare_replaces_a_lost_member_during_an_outage(self):
+        # During an outage of the key-value service no new plan can be decided, so a broken replica
+        # could stay down for hours. The last accepted plan names a spare and reserves a generation
+        # for it.
         async def test():
-            async with scenes.scene(policy=spreading.Spreading()) as site:
+            async with planner_fixtures.running_site(policy=spreading.Spreading()) as site:
                 node, other = site.start("node"), site.start("other")
-                await scenes.wait_until(lambda: node.whole_groups() and scenes.has_spare(node))
+                await planner_fixtures.wait_until(
+                    lambda: node.whole_groups() and planner_fixtures.has_recorded_spare(node)
+                )
                 (before,) = node.whole_groups()
                 site.platform.set_mode("down")
                 await trio.sleep(60)
-                lost = site.engines.engines[scenes.address(site, before.members[1])]
+                lost = site.engines.engines[planner_fixtures.address_of(site, before.members[1])]
                 lost.mode = fleet.Mode.SILENT
                 for each in (node, other):
-                    await scenes.wait_until(
-                        lambda each=each: scenes.other_generation(each, before), 30
+                    await planner_fixtures.wait_until(
+                        lambda each=each: planner_fixtures.has_later_generation(each, before), 30
                     )
                 (during,) = other.whole_groups()
                 self.assertNotIn(before.members[1], during.members)
@@ -87,65 +90,74 @@
                 self.assertEqual(
                     [during.generation_key], [each.generation_key for each in other.whole_groups()]
                 )
-                self.assertTrue(scenes.is_formed(other))
+                self.assertTrue(planner_fixtures.is_formed(other))
                 lost.mode = fleet.Mode.UP
-                await scenes.wait_until(lambda: lost.place is None)
+                await planner_fixtures.wait_until(lambda: lost.place is None)
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
-    def test_engine_that_knows_a_newer_plan_refuses_the_substitution(self):
-        # The last planner is cut off from the service and takes that for an outage; another one
-        # was elected and gave the spare to its own group. No VM leaves that group.
+    def test_engine_with_a_newer_plan_refuses_the_substitution(self):
+        # The last planner loses its connection to the service and takes that for an outage, while a
+        # successor was elected and put the spare into a group of its own. No VM may leave that
+        # group.
         async def test():
-            async with scenes.scene(policy=spreading.Spreading()) as site:
+            async with planner_fixtures.running_site(policy=spreading.Spreading()) as site:
                 old = site.start("old")
-                await scenes.wait_until(lambda: old.whole_groups() and scenes.has_spare(old))
+                await planner_fixtures.wait_until(
+                    lambda: old.whole_groups() and planner_fixtures.has_recorded_spare(old)
+                )
                 (before,) = old.whole_groups()
                 site.platform.set_mode("down", "old")
                 new = site.start("new")
-                await scenes.wait_until(lambda: new.planner.term_log.is_term_recorded, 30)
-                site.engines.engines[scenes.address(site, before.members[0])].restart()
-                await scenes.wait_until(lambda: scenes.other_generation(new, before))
+                await planner_fixtures.wait_until(lambda: new.planner.term_log.is_term_recorded, 30)
+                site.engines.engines[planner_fixtures.address_of(site, before.members[0])].restart()
+                await planner_fixtures.wait_until(
+                    lambda: planner_fixtures.has_later_generation(new, before)
+                )
                 (now,) = new.whole_groups()
                 await trio.sleep(30)
                 self.assertEqual(
                     [now.generation_key], [each.generation_key for each in new.whole_groups()]
                 )
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
     def test_engines_that_ignore_fencing_get_no_spare(self):
         async def test():
             ignored = inventory.Fencing.IGNORED
-            async with scenes.scene(fencing=ignored, policy=spreading.Spreading()) as site:
+            async with planner_fixtures.running_site(
+                fencing=ignored, policy=spreading.Spreading()
+            ) as site:
                 node = site.start("node")
-                await scenes.wait_until(lambda: scenes.is_formed(node))
+                await planner_fixtures.wait_until(lambda: planner_fixtures.is_formed(node))
                 await trio.sleep(2)
-                self.assertFalse(scenes.has_spare(node))
+                self.assertFalse(planner_fixtures.has_recorded_spare(node))
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
-    def test_planner_that_was_asked_to_step_down_substitutes_no_more(self):
+    def test_planner_that_renounced_its_term_makes_no_substitution(self):
         async def test():
-            async with scenes.scene(policy=spreading.Spreading()) as site:
+            async with planner_fixtures.running_site(policy=spreading.Spreading()) as site:
                 node = site.start("node")
-                await scenes.wait_until(lambda: node.whole_groups() and scenes.has_spare(node))
+                await planner_fixtures.wait_until(
+                    lambda: node.whole_groups() and planner_fixtures.has_recorded_spare(node)
+                )
                 (before,) = node.whole_groups()
                 fencing = node.lease.fencing
                 site.platform.set_mode("down")
                 await trio.sleep(6)
                 node.planner.renounce(fencing)
-                site.engines.engines[scenes.address(site, before.members[1])].mode = (
+                site.engines.engines[planner_fixtures.address_of(site, before.members[1])].mode = (
                     fleet.Mode.SILENT
                 )
                 await trio.sleep(60)
                 self.assertEqual([], node.whole_groups())
 
-        scenes.run(test)
+        planner_fixtures.run(test)
 
 
 class _Wire:
-    """An outbox that delivers at once."""
+    """An outbox that delivers each message immediately."""
 
     def __init__(self, other, sender):
         self.other, self.sender = other, sender
