--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -252,7 +252,7 @@
                     most = max(most, loading)
                     await trio.sleep(0.1)
                     if trio.current_time() > 60:
-                        self.fail("the groups were not formed within 60 s")
+                        self.fail("not formed in time")
                 self.assertEqual(2, most)
                 first = {}
                 for engine in planner_fixtures.engines(site):
--- a/tests/test_planner_peers.py
+++ b/tests/test_planner_peers.py
@@ -17,14 +17,14 @@
 
 
 class PeersTest(unittest.TestCase):
-    def _pair(self):
+    def _connected_pair(self):
         near, far = exchange.Exchange(), exchange.Exchange()
-        near.attach("far", _Wire(far, "near"))
-        far.attach("near", _Wire(near, "far"))
+        near.attach("far", _ImmediateOutbox(far, "near"))
+        far.attach("near", _ImmediateOutbox(near, "far"))
         return near, far
 
     def test_departure_observed_by_one_entry_ends_the_generation_on_the_other(self):
-        near, far = self._pair()
+        near, far = self._connected_pair()
         views = view.View(), view.View()
         peering.GenerationEndBroadcaster(near, views[0])
         peering.GenerationEndBroadcaster(far, views[1])
@@ -35,28 +35,28 @@
     def test_planner_acknowledges_only_a_term_that_is_over(self):
         async def test():
             async with planner_fixtures.running_site() as site:
-                near, far = self._pair()
+                near, far = self._connected_pair()
                 old = site.start("old")
                 await planner_fixtures.wait_until(lambda: old.planner.term_log.is_term_recorded)
                 peering.StepDownResponder(far, old.planner)
-                probe = peering.PeerProbe(near, _Transport("nobody answers"))
+                probe = peering.PeerProbe(near, _FailingTransport("nobody answers"))
                 own = plan.Term(old.lease.fencing, "far", old.planner.process, "far:1")
                 old.planner.entry, old.planner.peers_address = "far", "far:1"
-                self.assertFalse(await _asked_twice(probe, own))
+                self.assertFalse(await _probe_twice(probe, own))
                 restarted = attrs.evolve(own, fencing=1, process="before")
-                self.assertTrue(await _asked_twice(probe, restarted))
+                self.assertTrue(await _probe_twice(probe, restarted))
                 moved = attrs.evolve(restarted, fencing=2, peers_address="elsewhere:1")
-                self.assertFalse(await _asked_twice(probe, moved))
+                self.assertFalse(await _probe_twice(probe, moved))
                 old.scope.cancel()
                 await trio.sleep(5)
-                self.assertTrue(await _asked_twice(probe, own))
+                self.assertTrue(await _probe_twice(probe, own))
 
         planner_fixtures.run(test)
 
     def test_only_a_refused_connection_shows_that_an_earlier_planner_has_ended(self):
         async def test():
             for cause, expected in ((ConnectionRefusedError(), True), (TimeoutError(), False)):
-                probe = peering.PeerProbe(exchange.Exchange(), _Transport("failed", cause))
+                probe = peering.PeerProbe(exchange.Exchange(), _FailingTransport("failed", cause))
                 term = plan.Term(1, "gone", "p", "127.0.0.1:1")
                 self.assertEqual(expected, await probe.has_ended(term))
 
@@ -156,7 +156,7 @@
         planner_fixtures.run(test)
 
 
-class _Wire:
+class _ImmediateOutbox:
     """An outbox that delivers each message immediately."""
 
     def __init__(self, other, sender):
@@ -167,7 +167,7 @@
         return True
 
 
-class _Transport:
+class _FailingTransport:
     def __init__(self, text, cause=None):
         self.text, self.cause = text, cause
 
@@ -175,6 +175,6 @@
         raise transport.TransportError(self.text) from self.cause
 
 
-async def _asked_twice(probe, term):
+async def _probe_twice(probe, term):
     await probe.has_ended(term)
     return await probe.has_ended(term)
--- a/toucanhold/planning/order_scheduling.py
+++ b/toucanhold/planning/order_scheduling.py
@@ -104,14 +104,14 @@
         return [each for each in orders if not self._was_just_sent(each, now_s)]
 
     def _update_unplanned(self, now_s: float) -> None:
-        planned = {group.generation_key for group in self.plans.groups()}
+        planned_keys = {group.generation_key for group in self.plans.groups()}
         reported = {
             self._reported_generation(vm.vm) for vm in self.configuration.current.inventory.vms
         }
         self._unplanned_since_s = {
             generation_key: self._unplanned_since_s.get(generation_key, now_s)
             for generation_key in reported
-            if generation_key is not None and generation_key not in planned
+            if generation_key is not None and generation_key not in planned_keys
         }
 
     def _current_report(self, vm: inventory.Vm, now_s: float) -> client.Report | None:
@@ -149,8 +149,10 @@
     ) -> bool:
         generation_key = (report.group, report.generation)
         if report.group is not None:
-            planned = planned_group is not None and planned_group.generation_key == generation_key
-            return not planned and self._may_leave(vm, report, now_s)
+            is_planned = (
+                planned_group is not None and planned_group.generation_key == generation_key
+            )
+            return not is_planned and self._may_leave(vm, report, now_s)
         sent = self._sent.get(vm.vm)
         if not report.loading or sent is None or not isinstance(sent.order, client.JoinOrder):
             return False
@@ -232,8 +234,11 @@
         sent = self._sent.get(vm.vm)
         if sent is None or not sent.was_accepted or not isinstance(sent.order, client.JoinOrder):
             return False
-        same = (sent.order.group, sent.order.generation) == planned_group.generation_key
-        return same and report.group is None and not report.loading
+        is_same_generation = (
+            sent.order.group,
+            sent.order.generation,
+        ) == planned_group.generation_key
+        return is_same_generation and report.group is None and not report.loading
 
     def _may_join(self, vm: inventory.Vm, report: client.Report, planned_group: plan.Group) -> bool:
         # A member that has left never rejoins its old generation: it has lost the group's state,
--- a/toucanhold/planning/peering.py
+++ b/toucanhold/planning/peering.py
@@ -51,9 +51,9 @@
             return True
         if self.exchange.send(term.entry, messages.StepDownAsk(term)):
             return False
-        return await self._is_gone(term)
+        return await self._has_process_ended(term)
 
-    async def _is_gone(self, term: plan.Term) -> bool:
+    async def _has_process_ended(self, term: plan.Term) -> bool:
         # A paused process keeps its listening socket, and an unreachable VM does not answer at all.
         # Only a reachable VM on which the process has ended refuses the connection.
         try:
@@ -82,10 +82,10 @@
         self.exchange.subscribe(messages.StepDownAsk, self._answer)
 
     def _answer(self, sender: str, message: messages.StepDownAsk) -> None:
-        if self._is_over(message.term):
+        if self._has_term_ended(message.term):
             self.exchange.send(sender, messages.StepDownAnswer(message.term.fencing))
 
-    def _is_over(self, term: plan.Term) -> bool:
+    def _has_term_ended(self, term: plan.Term) -> bool:
         own = self.planner
         if term.entry != own.entry:
             return False
--- a/toucanhold/plans/plan.py
+++ b/toucanhold/plans/plan.py
@@ -39,7 +39,7 @@
     :ivar generation: grows with each new set of members; never used twice in a domain
     :ivar service: name of the service
     :ivar members: VM names by rank; rank 0 receives the requests
-    :ivar boots: boot ids of the members when they were chosen, by rank; empty if not recorded
+    :ivar boots: boot ids of the members when they were selected, by rank; empty if not recorded
     :ivar model: the model to load; empty for the service's current one
     :ivar version: the model's version; empty for the service's current one
     :ivar formed: whether all members have joined; once set, a missing member ends the generation
@@ -65,7 +65,7 @@
         return (self.group, self.generation)
 
     def expects_boot(self, vm: str, boot_id: str) -> bool:
-        """Return whether ``boot_id`` is that of the process that was chosen as member.
+        """Return whether ``boot_id`` is that of the process selected as member.
 
         :param vm: name of a member
         """
