--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -202,8 +202,8 @@
             peering.PeerProbe(self.exchange, self.outside.peers),
             self.roster.own.boot,
         )
-        peering.StepDownAnswerer(self.exchange, self.planner)
-        peering.EndingSpreader(self.exchange, self.view)
+        peering.StepDownResponder(self.exchange, self.planner)
+        peering.GenerationEndBroadcaster(self.exchange, self.view)
 
     def _build_routing(self) -> None:
         self.router = router.build_default(
@@ -270,7 +270,7 @@
             operators_changes,
             self.configuration,
             self.status_composer,
-            preview.Previewer(self.planner.policy, self.planner.composer),
+            preview.Previewer(self.planner.policy, self.planner.input_builder),
             self.metrics,
             own.operator_token,
         )
@@ -314,7 +314,7 @@
 
     async def _refresh_roster(self) -> int:
         result = await self.platform.read(roster.ENTRIES_PREFIX)
-        self.roster.replace(result.items)
+        self.roster.replace_listed(result.items)
         self._forget_gone_entries()
         return result.revision
 
--- a/toucanhold/plans/plan.py
+++ b/toucanhold/plans/plan.py
@@ -1,4 +1,4 @@
-"""The plan: one record for each fabric domain."""
+"""Records of the plan, one for each fabric domain, and this entry's copy of them."""
 
 import collections.abc
 import logging
@@ -17,12 +17,12 @@
 
 @attrs.frozen
 class Term:
-    """One holder's time as planner.
+    """The period for which one entry holds the planner lease without a break.
 
-    :ivar fencing: its fencing number
-    :ivar entry: the entry that held the lease
+    :ivar fencing: fencing number of the term
+    :ivar entry: name of the entry that held the lease
     :ivar process: identifier of the entry's process; a restarted entry has another
-    :ivar peers_address: where that process takes peers' connections
+    :ivar peers_address: ``IP:port`` at which that process accepts peers' connections
     """
 
     fencing: int
@@ -33,18 +33,19 @@
 
 @attrs.frozen
 class Group:
-    """A replica's VMs.
-
-    :ivar group: unique name; it tells the fabric domain
-    :ivar generation: grows with each new set of members; never used twice
-    :ivar service: the service that it serves
-    :ivar members: VM names by rank; rank 0 takes the requests
-    :ivar boots: boot ids of the members when they were chosen; empty where not recorded
-    :ivar model: the model that it loads; empty for the service's present one
-    :ivar version: the model's version
-    :ivar spare: the VM that may take a lost member's place while nothing can be decided
+    """The VMs that together run one replica.
+
+    :ivar group: unique name, made of the fabric domain and the generation
+    :ivar generation: grows with each new set of members; never used twice in a domain
+    :ivar service: name of the service
+    :ivar members: VM names by rank; rank 0 receives the requests
+    :ivar boots: boot ids of the members when they were selected, by rank; empty if not recorded
+    :ivar model: the model to load; empty for the service's current one
+    :ivar version: the model's version; empty for the service's current one
+    :ivar formed: whether all members have joined; once set, a missing member ends the generation
+    :ivar spare: the VM that may replace a lost member while the key-value service is unavailable;
+        empty if there is none
     :ivar spare_boot: the spare's boot id
-    :ivar formed: all members have joined; from now on a member that is missing ends the generation
     """
 
     group: str
@@ -59,14 +60,17 @@
     spare_boot: str = ""
 
     @property
-    def place(self) -> tuple[str, int]:
-        """Group and generation, as members report them."""
+    def generation_key(self) -> tuple[str, int]:
+        """Name and generation of the group, as its members report them."""
         return (self.group, self.generation)
 
     def expects_boot(self, vm: str, boot_id: str) -> bool:
-        """Tell whether a member still runs the process that was chosen."""
-        # An engine that restarts between two reports and is ordered into the same generation
-        # again looks like one that never left; its boot id tells the two apart on every entry.
+        """Return whether ``boot_id`` is that of the process selected as member.
+
+        :param vm: name of a member
+        """
+        # An engine that restarts between two reports and is ordered into the same generation again
+        # looks like one that never left. Only its boot id distinguishes the two on every entry.
         return not self.boots or self.boots[self.members.index(vm)] == boot_id
 
 
@@ -74,11 +78,13 @@
 class DomainPlan:
     """All groups of one fabric domain.
 
-    Groups never cross a fabric domain, so the compare-and-swap of this one record decides about
-    each of its VMs, and no VM can stand in two groups.
+    Groups never span fabric domains, so the compare-and-swap of this one record covers each of the
+    domain's VMs, and no VM can be in two groups.
 
-    :ivar fencing: the planner's fencing number
-    :ivar last_generation: highest generation ever used in the domain
+    :ivar domain: name of the fabric domain
+    :ivar fencing: fencing number of the planner that wrote the record
+    :ivar last_generation: highest generation used or reserved in the domain so far
+    :ivar groups: the planned groups
     """
 
     domain: str
@@ -87,13 +93,13 @@
     groups: tuple[Group, ...] = ()
 
     def group_of(self, vm: str) -> Group | None:
-        """Return the group that a VM is to be in."""
+        """Return the group that a VM is planned to be in, or None."""
         return next((group for group in self.groups if vm in group.members), None)
 
 
 @attrs.frozen
 class VersionedDomainPlan:
-    """A domain's plan and the revision at which it was written; 0 if never."""
+    """A domain's plan and the store's revision at which it was written; 0 if it never was."""
 
     plan: DomainPlan
     revision: int = 0
@@ -101,15 +107,15 @@
 
 @attrs.define(eq=False)
 class PlanHolder:
-    """The plan as this entry knows it.
+    """This entry's copy of the plan.
 
-    :ivar changes: counts the changes taken in
+    :ivar change_count: number of changes applied; grows whenever a cached derivation is stale
     """
 
-    changes: int = attrs.field(default=0, init=False)
+    change_count: int = attrs.field(default=0, init=False)
     _domains: dict[str, VersionedDomainPlan] = attrs.field(factory=dict)
-    _overlays: dict[tuple[str, int], Group] = attrs.field(factory=dict)
-    _former: dict[tuple[str, int], Group] = attrs.field(factory=dict)
+    _substitutes: dict[tuple[str, int], Group] = attrs.field(factory=dict)
+    _former_groups: dict[tuple[str, int], Group] = attrs.field(factory=dict)
     _changed: trio.Event = attrs.field(factory=trio.Event)
 
     def domain(self, name: str) -> VersionedDomainPlan:
@@ -121,56 +127,60 @@
         return tuple(self._domains.values())
 
     def groups(self) -> collections.abc.Iterator[Group]:
-        """Yield every group."""
+        """Yield every planned group, or its substitute if one is set."""
         for versioned in self._domains.values():
             for group in versioned.plan.groups:
-                yield self._overlays.get(group.place, group)
+                yield self._substitutes.get(group.generation_key, group)
 
     def group_of(self, vm: str, domain: str) -> Group | None:
-        """Return the group that a VM of ``domain`` is to be in, substitutes considered."""
+        """Return the group, or substitute, that a VM of ``domain`` is planned to be in, or None."""
         groups = (
-            self._overlays.get(group.place, group) for group in self.domain(domain).plan.groups
+            self._substitutes.get(group.generation_key, group)
+            for group in self.domain(domain).plan.groups
         )
         return next((group for group in groups if vm in group.members), None)
 
-    def overlay(self, group: Group, substitute: Group) -> bool:
-        """Let ``substitute`` stand for a group until its record changes; false if one does."""
-        if group.place in self._overlays:
+    def set_substitute(self, group: Group, substitute: Group) -> bool:
+        """Set a group's substitute until the group leaves the plan; false if one is set already."""
+        if group.generation_key in self._substitutes:
             return False
-        self._overlays[group.place] = substitute
-        self._signal()
+        self._substitutes[group.generation_key] = substitute
+        self._notify_changed()
         return True
 
-    def overlay_of(self, group: Group) -> Group | None:
-        """Return what stands for a group."""
-        return self._overlays.get(group.place)
+    def substitute_of(self, group: Group) -> Group | None:
+        """Return the substitute that is set for a group, or None."""
+        return self._substitutes.get(group.generation_key)
 
-    def overlaid(self) -> tuple[Group, ...]:
+    def substitutes(self) -> tuple[Group, ...]:
         """Return all substitutes."""
-        return tuple(self._overlays.values())
+        return tuple(self._substitutes.values())
+
+    def former_group(self, generation_key: tuple[str, int]) -> Group | None:
+        """Return a group that was planned until recently, or None.
 
-    def former(self, place: tuple[str, int]) -> Group | None:
-        """Return a group that was planned until lately."""
-        return self._former.get(place)
+        The last ``FORMER_GROUPS_KEPT`` groups that left the plan are kept.
+        """
+        return self._former_groups.get(generation_key)
 
     @property
     def revision(self) -> int:
-        """The highest revision known."""
+        """The highest revision among all domains' plans; 0 without any."""
         return max((versioned.revision for versioned in self._domains.values()), default=0)
 
     def apply(self, versioned: VersionedDomainPlan) -> bool:
-        """Take in a domain's plan; false where a later one is known."""
-        # A late event must not revive a group whose VMs were given to another.
+        """Store a domain's plan; false if the same or a later revision is stored already."""
+        # A delayed event must not restore a group whose VMs were assigned to another one.
         old = self.domain(versioned.plan.domain)
         if versioned.revision <= old.revision:
             return False
         self._domains[versioned.plan.domain] = versioned
-        self._remember_former(old.plan, versioned.plan)
-        self._signal()
+        self._keep_former(old.plan, versioned.plan)
+        self._notify_changed()
         return True
 
-    def _signal(self) -> None:
-        self.changes += 1
+    def _notify_changed(self) -> None:
+        self.change_count += 1
         self._changed.set()
         self._changed = trio.Event()
 
@@ -178,21 +188,21 @@
         """Return after the next change."""
         await self._changed.wait()
 
-    def _remember_former(self, old: DomainPlan, new: DomainPlan) -> None:
-        planned = {group.place for group in new.groups}
+    def _keep_former(self, old: DomainPlan, new: DomainPlan) -> None:
+        planned_keys = {group.generation_key for group in new.groups}
         for group in old.groups:
-            if group.place not in planned:
-                self._former[group.place] = group
-                self._overlays.pop(group.place, None)
-        while len(self._former) > FORMER_GROUPS_KEPT:
-            del self._former[next(iter(self._former))]
+            if group.generation_key not in planned_keys:
+                self._former_groups[group.generation_key] = group
+                self._substitutes.pop(group.generation_key, None)
+        while len(self._former_groups) > FORMER_GROUPS_KEPT:
+            del self._former_groups[next(iter(self._former_groups))]
 
 
 def substitute(group: Group, lost: str) -> Group:
-    """Return the group in which the spare has taken the place of ``lost``.
+    """Return the group in which the spare replaces the member ``lost``.
 
-    A pure function of the record: each member has a generation number of its own, reserved when the
-    group was formed, so that no two sets of members ever share one.
+    The result depends on the record alone. A generation number was reserved for each member when
+    the group was formed, so that no two sets of members ever share a number.
     """
     rank = group.members.index(lost)
     generation = group.generation + 1 + rank
@@ -220,6 +230,6 @@
 def from_item(item: keyvalue.Item) -> VersionedDomainPlan:
     """Decode a stored record.
 
-    :raises codec.CodecError: when it is malformed
+    :raises codec.CodecError: when the record is malformed
     """
     return VersionedDomainPlan(codec.from_json(item.value, DomainPlan), item.mod_revision)
--- a/toucanhold/routing/candidates.py
+++ b/toucanhold/routing/candidates.py
@@ -177,7 +177,7 @@
 
     def _rebuild_if_changed(self) -> None:
         current = self.configuration.current
-        basis = _Basis(current, self.plans.changes, self.view.platform_leaving)
+        basis = _Basis(current, self.plans.change_count, self.view.platform_leaving)
         if basis.is_same(self._basis):
             return
         self._basis = basis
@@ -224,13 +224,13 @@
         # Neither the plan nor an order that was sent proves that a group exists; only fresh and
         # matching reports of all members do. Otherwise a group that lost a member, or that an
         # outdated planner's order split, would get requests that it cannot serve.
-        if self.view.is_ended(*group.place):
+        if self.view.is_ended(*group.generation_key):
             return False
         for member in group.members:
             report = self.view.fresh_report(member, now_s)
             if report is None or report.loading:
                 return False
-            if (report.group, report.generation) != group.place:
+            if (report.group, report.generation) != group.generation_key:
                 return False
             if not group.expects_boot(member, report.boot_id):
                 return False
