--- a/standins/memory.py
+++ b/standins/memory.py
@@ -110,7 +110,7 @@
         while True:
             self.platform.expire()
             if self.faults.mode == "down":
-                raise contract.UnclearError("the watch was cut")
+                raise contract.IndeterminateError("the watch was cut")
             if following < store.compact_revision:
                 raise contract.CompactedError("compacted")
             changed, latest = store.changed, store.revision
@@ -129,15 +129,15 @@
         losable = kind in faults.lose_kinds
         if losable and faults.lose_requests:
             faults.lose_requests -= 1
-            raise contract.UnclearError("the request was lost")
+            raise contract.IndeterminateError("the request was lost")
         self.platform.expire()
         try:
             answer = self.platform.store.call(kind.removeprefix("kv/"), body)
         except serving.AnswerError as error:
-            raise contract.UnclearError(f"{path}: {error}") from error
+            raise contract.IndeterminateError(f"{path}: {error}") from error
         if losable and faults.lose_answers:
             faults.lose_answers -= 1
-            raise contract.UnclearError("the answer was lost")
+            raise contract.IndeterminateError("the answer was lost")
         return answer
 
     async def _meet_faults(self) -> None:
@@ -147,7 +147,7 @@
             raise contract.UnavailableError("refused")
         if mode == "silent" or (mode == "slow" and delay_s > self.call_timeout_s):
             await trio.sleep(self.call_timeout_s)
-            raise contract.UnclearError("no answer in time")
+            raise contract.IndeterminateError("no answer in time")
         if mode == "slow":
             await trio.sleep(delay_s)
 
@@ -173,7 +173,7 @@
     async def _changes(self, after_revision: int) -> mirror.Changes:
         store = self.platform.store
         if self.faults.mode == "silent":
-            raise contract.UnclearError("no answer in time")
+            raise contract.IndeterminateError("no answer in time")
         if self.faults.silent_watches:
             return mirror.Changes(after_revision, after_revision)
         # What happens while the items are read belongs to the next answer.
--- a/standins/orders.py
+++ b/standins/orders.py
@@ -90,10 +90,10 @@
         if fault == "late":
             self._late.append((trio.current_time() + LATE_S, effect))
         if fault in ("lost-request", "late"):
-            raise keyvalue.UnclearError(fault)
+            raise keyvalue.IndeterminateError(fault)
         result = effect()
         if fault == "lost-answer":
-            raise keyvalue.UnclearError(fault)
+            raise keyvalue.IndeterminateError(fault)
         return result
 
     async def _wait_served(self):
@@ -102,7 +102,7 @@
         wait_s = self._free_at_s - now_s + self.latency_s
         if wait_s > self.timeout_s:
             await trio.sleep(self.timeout_s)
-            raise keyvalue.UnclearError("no answer in time")
+            raise keyvalue.IndeterminateError("no answer in time")
         await trio.sleep(wait_s)
 
     def _arrive(self):
@@ -118,7 +118,7 @@
 
     def _commit(self, conditions, writes):
         if any(write.lease and write.lease not in self.leases for write in writes):
-            raise keyvalue.UnclearError("HTTP status 404: requested lease not found")
+            raise keyvalue.IndeterminateError("HTTP status 404: requested lease not found")
         absent = keyvalue.Item("", b"")
         for condition in conditions:
             item = self.items.get(condition.key, absent)
--- a/tests/platform/test_platform_store.py
+++ b/tests/platform/test_platform_store.py
@@ -70,7 +70,7 @@
         with self.assertRaises(keyvalue.UnavailableError):
             await client.commit([], [keyvalue.Write("k", b"1")])
         app.refuse, app.lose_answers = 0, 1
-        with self.assertRaises(keyvalue.UnclearError):
+        with self.assertRaises(keyvalue.IndeterminateError):
             await client.commit([], [keyvalue.Write("k", b"1")])
         self.assertIsNotNone(await client.read_key("k"))
 
--- a/toucanhold/configuration/store.py
+++ b/toucanhold/configuration/store.py
@@ -204,7 +204,7 @@
             return (await self.client.commit([condition], writes)).succeeded
         except keyvalue.UnavailableError as error:
             raise NotAcceptedError(f"nothing was changed: {error}") from error
-        except keyvalue.UnclearError:
+        except keyvalue.IndeterminateError:
             return await self._read_back(head, head_revision)
 
     async def _read_back(self, head: Head, head_revision: int) -> bool:
--- a/toucanhold/coordination/etcd.py
+++ b/toucanhold/coordination/etcd.py
@@ -106,11 +106,13 @@
             finally:
                 await response.aclose()
         if response.status != 200:
-            raise keyvalue.UnclearError(f"{path}: HTTP status {response.status}: {content[:200]!r}")
+            raise keyvalue.IndeterminateError(
+                f"{path}: HTTP status {response.status}: {content[:200]!r}"
+            )
         try:
             return json.loads(content)
         except ValueError as error:
-            raise keyvalue.UnclearError(f"{path}: malformed answer") from error
+            raise keyvalue.IndeterminateError(f"{path}: malformed answer") from error
 
     def _request(self, path: str, body: dict, timeout_s: float) -> httpcore.Request:
         content = json.dumps(body).encode()
@@ -137,24 +139,24 @@
         async for chunk in response.aiter_stream():
             buffer += chunk
             if len(buffer) > WATCH_LINE_LIMIT_BYTES:
-                raise keyvalue.UnclearError("a watch message exceeds its limit")
+                raise keyvalue.IndeterminateError("a watch message exceeds its limit")
             *lines, rest = bytes(buffer).split(b"\n")
             buffer = bytearray(rest)
             for line in lines:
                 if line.strip():
                     yield _watch_revision(line)
-    raise keyvalue.UnclearError("the watch ended")
+    raise keyvalue.IndeterminateError("the watch ended")
 
 
 def _watch_revision(line: bytes) -> int:
     try:
         result = json.loads(line).get("result", {})
     except ValueError as error:
-        raise keyvalue.UnclearError("malformed watch message") from error
+        raise keyvalue.IndeterminateError("malformed watch message") from error
     if result.get("canceled"):
         if result.get("compact_revision"):
             raise keyvalue.CompactedError("the watch's history was compacted")
-        raise keyvalue.UnclearError("the watch was cancelled")
+        raise keyvalue.IndeterminateError("the watch was cancelled")
     return _revision(result)
 
 
--- a/toucanhold/coordination/keyvalue.py
+++ b/toucanhold/coordination/keyvalue.py
@@ -15,7 +15,7 @@
     """The call certainly had no effect: it never reached the service."""
 
 
-class UnclearError(KeyValueError):
+class IndeterminateError(KeyValueError):
     """The call may have taken effect; its answer was lost."""
 
 
@@ -80,7 +80,7 @@
 class KeyValueClient(abc.ABC):
     """Compare-and-swap, leases and watches of the platform's key-value service.
 
-    Each method raises :class:`UnavailableError` or :class:`UnclearError`.
+    Each method raises :class:`UnavailableError` or :class:`IndeterminateError`.
     """
 
     @abc.abstractmethod
--- a/toucanhold/coordination/lease.py
+++ b/toucanhold/coordination/lease.py
@@ -83,7 +83,7 @@
         write = keyvalue.Write(self.key, self.value, self._lease)
         try:
             result = await self.client.commit([absent], [write])
-        except keyvalue.UnclearError:
+        except keyvalue.IndeterminateError:
             LOGGER.debug("lease on %s: the answer was lost; reading back", self.key)
         else:
             if result.succeeded:
--- a/toucanhold/coordination/transfer.py
+++ b/toucanhold/coordination/transfer.py
@@ -14,13 +14,13 @@
     """Turn errors of a call into those of the key-value client.
 
     :raises keyvalue.UnavailableError: when the call never reached the service
-    :raises keyvalue.UnclearError: when it may have taken effect
+    :raises keyvalue.IndeterminateError: when it may have taken effect
     """
     try:
         yield
     except (httpcore.ConnectError, httpcore.ConnectTimeout, httpcore.PoolTimeout) as error:
         raise keyvalue.UnavailableError(f"cannot connect: {error!r}") from error
     except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError) as error:
-        raise keyvalue.UnclearError(f"answer lost: {error!r}") from error
+        raise keyvalue.IndeterminateError(f"answer lost: {error!r}") from error
     except trio.TooSlowError as error:
-        raise keyvalue.UnclearError("no answer in time") from error
+        raise keyvalue.IndeterminateError("no answer in time") from error
--- a/toucanhold/orders/claims.py
+++ b/toucanhold/orders/claims.py
@@ -89,7 +89,7 @@
                 reason = str(error)
                 if not may_stand:
                     until_s = min(until_s, began_at_s + REFUSED_TIMEOUT_S)
-            except keyvalue.UnclearError as error:
+            except keyvalue.IndeterminateError as error:
                 may_stand, reason = True, str(error)
             if trio.current_time() + backoff_s >= until_s:
                 raise ClaimUnavailableError(reason, may_stand, MAX_BACKOFF_S)
@@ -104,7 +104,7 @@
         write = keyvalue.Write(key, records.encode(record), lease)
         try:
             result = await self.committer.commit(commits.Commit(absent, write))
-        except keyvalue.UnclearError:
+        except keyvalue.IndeterminateError:
             # The write may stand, or arrive late. Only the key's own value tells; writing again
             # with the same attempt id is safe, since either write claims for the same attempt.
             # A lease that the service no longer knows looks the same: the next try takes another.
@@ -200,7 +200,7 @@
         write = keyvalue.Write(held.key, value, lease)
         try:
             await self.committer.commit(commits.Commit(condition, write))
-        except keyvalue.UnclearError:
+        except keyvalue.IndeterminateError:
             self.leases.forget(lease)
             # Read back: the write took effect if the claim is no longer at its old revision.
             # Nobody else changes a claim that is held, so nobody's write is mistaken for it.
--- a/toucanhold/orders/commits.py
+++ b/toucanhold/orders/commits.py
@@ -154,7 +154,7 @@
         except Exception as error:
             # Whatever failed here, the write may have left, and the worker must go on for all
             # later orders.
-            _fail(batch, keyvalue.UnclearError, error)
+            _fail(batch, keyvalue.IndeterminateError, error)
             return None
         if result.succeeded or len(batch) == 1:
             for waiting in batch:
--- a/toucanhold/planning/writing.py
+++ b/toucanhold/planning/writing.py
@@ -67,7 +67,7 @@
         except keyvalue.UnavailableError:
             self._unclear.discard(new.domain)
             raise
-        except keyvalue.UnclearError as error:
+        except keyvalue.IndeterminateError as error:
             events.log(LOGGER, events.Event.PLAN_UNCLEAR, domain=new.domain, reason=str(error))
             await self._read_back(new.domain)
             return self.plans.domain(new.domain).plan == new
--- a/toucanhold/platform/store.py
+++ b/toucanhold/platform/store.py
@@ -185,7 +185,7 @@
         """Make one call.
 
         :raises keyvalue.UnavailableError: when it certainly did nothing
-        :raises keyvalue.UnclearError: when it may have taken effect
+        :raises keyvalue.IndeterminateError: when it may have taken effect
         """
         self.calls[path.split("/")[1].removeprefix("kv-")] += 1
         target = path + ("?" + urllib.parse.urlencode(query) if query else "")
@@ -210,7 +210,7 @@
 
 def _expect(status: int, wanted: int, answer: dict) -> None:
     if status != wanted:
-        raise keyvalue.UnclearError(f"status {status}: {answer}")
+        raise keyvalue.IndeterminateError(f"status {status}: {answer}")
 
 
 def _plain(path: str, content: bytes) -> dict:
@@ -219,23 +219,23 @@
     try:
         answer = json.loads(content)
     except ValueError as error:
-        raise keyvalue.UnclearError(f"{path}: malformed answer") from error
+        raise keyvalue.IndeterminateError(f"{path}: malformed answer") from error
     if not isinstance(answer, dict):
-        raise keyvalue.UnclearError(f"{path}: malformed answer")
+        raise keyvalue.IndeterminateError(f"{path}: malformed answer")
     return answer
 
 
 def _list(answer: dict, name: str) -> list[dict]:
     found = answer.get(name)
     if not isinstance(found, list):
-        raise keyvalue.UnclearError(f"an answer without {name}")
+        raise keyvalue.IndeterminateError(f"an answer without {name}")
     return [each for each in found if isinstance(each, dict)]
 
 
 def _number(answer: dict, name: str) -> int:
     found = answer.get(name)
     if not isinstance(found, int):
-        raise keyvalue.UnclearError(f"an answer without {name}")
+        raise keyvalue.IndeterminateError(f"an answer without {name}")
     return found
 
 
