--- a/standins/entries.py
+++ b/standins/entries.py
@@ -160,7 +160,7 @@
             own,
             outside.Outside(
                 platform=self.platform.client(name),
-                vm_list=vms.NoVmList(),
+                vm_list=vms.EmptyVmList(),
                 backends=self.backends,
                 peers=self.network.transport(name),
                 server=_NoServer(),
--- a/standins/memory.py
+++ b/standins/memory.py
@@ -156,7 +156,7 @@
 class MirroredClient(MemoryClient, watching.ChangeSource):
     """A client that also tells what has changed."""
 
-    async def read_all(self, may_be_old: bool) -> contract.RangeResult:
+    async def read_all(self, may_be_stale: bool) -> contract.RangeResult:
         """See :class:`watching.ChangeSource`."""
         return await self.read(EVERYTHING)
 
--- a/standins/planners.py
+++ b/standins/planners.py
@@ -28,7 +28,7 @@
     plans: plan.PlanHolder
     view: view.View
     poller: poller.Poller
-    follower: following.Follower
+    follower: following.PrefixFollower
     lease: lease.LeasedKey
     planner: planner.Planner
     backends: fleet.MemoryFleet
@@ -83,7 +83,7 @@
             plans.apply(plan.from_item(item))
         return result.revision
 
-    follower = following.Follower(store, plan.PLAN_PREFIX, refresh, rng)
+    follower = following.PrefixFollower(store, plan.PLAN_PREFIX, refresh, rng)
     polling = poller.Poller(known, backends, seen, rng)
     return Node(name, known, plans, seen, polling, follower, held, own, backends)
 
--- a/tests/platform/test_platform_store.py
+++ b/tests/platform/test_platform_store.py
@@ -29,7 +29,7 @@
         app.page_size = 2
         for number in range(5):
             app.put(f"servers/{number}", b"x")
-        result = await client.read_all(may_be_old=False)
+        result = await client.read_all(may_be_stale=False)
         self.assertEqual(5, len(result.items))
         self.assertEqual(app.revision, result.revision)
         self.assertEqual({"range": 3}, client.calls)
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -156,4 +156,4 @@
             await trio.sleep(5)
             await support.apply(site)
             self.assertEqual(1, site.app("entry-0").configuration.current.number)
-            self.assertTrue(site.app("entry-0").configuration_follower.answering)
+            self.assertTrue(site.app("entry-0").configuration_follower.is_answering)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -283,7 +283,7 @@
             def note(keys):
                 late.sources[:] = ["r1"]
 
-            late.copy.listen("", note)
+            late.copy.add_listener("", note)
             await site.write("things/first")
             nursery.start_soon(late.run)
             await trio.sleep(3)
--- a/toucanhold/coordination/following.py
+++ b/toucanhold/coordination/following.py
@@ -18,18 +18,18 @@
 
 
 @attrs.define(eq=False)
-class Follower:
+class PrefixFollower:
     """Calls ``refresh`` whenever something under ``prefix`` may have changed.
 
     :ivar refresh: reads and takes in the present state; returns the revision read
-    :ivar answering: whether the key-value service answered last time
+    :ivar is_answering: whether the key-value service answered last time
     """
 
     client: keyvalue.KeyValueClient
     prefix: str
     refresh: collections.abc.Callable[[], collections.abc.Awaitable[int]]
     rng: random.Random
-    answering: bool = False
+    is_answering: bool = False
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -42,7 +42,7 @@
             except keyvalue.CompactedError:
                 continue
             except keyvalue.KeyValueError as error:
-                if self.answering:
+                if self.is_answering:
                     backoff_s = FIRST_BACKOFF_S
                 self._note(False, str(error))
             # Jitter keeps all entries from calling at once when the service returns.
@@ -60,8 +60,8 @@
                     if changed > revision:
                         revision = await self.refresh()
 
-    def _note(self, answering: bool, reason: str) -> None:
-        if answering != self.answering:
-            event = events.Event.PLATFORM_BACK if answering else events.Event.PLATFORM_LOST
+    def _note(self, is_answering: bool, reason: str) -> None:
+        if is_answering != self.is_answering:
+            event = events.Event.PLATFORM_BACK if is_answering else events.Event.PLATFORM_LOST
             events.log(LOGGER, event, prefix=self.prefix, reason=reason)
-        self.answering = answering
+        self.is_answering = is_answering
--- a/toucanhold/coordination/mirror.py
+++ b/toucanhold/coordination/mirror.py
@@ -97,7 +97,7 @@
         """Return the items whose keys begin with ``prefix``."""
         return [item for key, item in self.items.items() if key.startswith(prefix)]
 
-    def listen(self, prefix: str, listener: Listener) -> None:
+    def add_listener(self, prefix: str, listener: Listener) -> None:
         """Call ``listener`` with the changed keys under ``prefix`` after each batch."""
         self._listeners.append((prefix, listener))
 
--- a/toucanhold/coordination/vms.py
+++ b/toucanhold/coordination/vms.py
@@ -25,7 +25,7 @@
         """
 
 
-class NoVmList(VmList):
+class EmptyVmList(VmList):
     """For platforms without a list."""
 
     async def read_leaving(self) -> frozenset[str]:
--- a/toucanhold/coordination/watching.py
+++ b/toucanhold/coordination/watching.py
@@ -31,10 +31,10 @@
     """Reads everything once, then what changes."""
 
     @abc.abstractmethod
-    async def read_all(self, may_be_old: bool) -> keyvalue.RangeResult:
+    async def read_all(self, may_be_stale: bool) -> keyvalue.RangeResult:
         """Return all items, and a revision from which to follow them.
 
-        :param may_be_old: whether what was true seconds ago will do; such a read costs less
+        :param may_be_stale: whether what was true seconds ago will do; such a read costs less
         :raises keyvalue.KeyValueError: when the service does not answer
         """
 
@@ -89,9 +89,9 @@
         if is_stale:
             # What an old first read lacks comes with the first watch. After a loss of history an
             # old read could begin where that loss lies, and again each time.
-            may_be_old = not self.copy.revision
-            result = await self.source.read_all(may_be_old)
-            self._note_answer(is_newest=not may_be_old)
+            may_be_stale = not self.copy.revision
+            result = await self.source.read_all(may_be_stale)
+            self._note_answer(is_newest=not may_be_stale)
             self.copy.replace(result)
             # An entry that finds one to follow in what it read is cancelled here, before it pays
             # for a watch.
--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -231,7 +231,7 @@
         return [each.entry for each in members if each.state is roster.EntryState.SERVING]
 
     def _build_followers(self) -> None:
-        follower = functools.partial(following.Follower, self.platform, rng=self.rng)
+        follower = functools.partial(following.PrefixFollower, self.platform, rng=self.rng)
         self.configuration_follower = follower(store.PREFIX, self.reader.refresh)
         self.plan_follower = follower(plan.PLAN_PREFIX, self._refresh_plan)
         self.roster_follower = follower(roster.ENTRIES_PREFIX, self._refresh_roster)
--- a/toucanhold/gateway/entries.py
+++ b/toucanhold/gateway/entries.py
@@ -69,7 +69,7 @@
             # in the lease's time; renewing costs a tenth of that.
             is_contended=False,
         )
-        self.source.listen(ENTRIES_PREFIX, self._take)
+        self.source.add_listener(ENTRIES_PREFIX, self._take)
 
     async def run(self) -> None:
         """Keep the own record until cancelled or stopped."""
--- a/toucanhold/gauges.py
+++ b/toucanhold/gauges.py
@@ -101,7 +101,7 @@
         "toucanhold.platform.answering",
         "1",
         "Whether the key-value service answers",
-        _single(lambda entry: int(entry.configuration_follower.answering)),
+        _single(lambda entry: int(entry.configuration_follower.is_answering)),
     ),
     Source(
         "toucanhold.new_work.permitted",
--- a/toucanhold/operators/status.py
+++ b/toucanhold/operators/status.py
@@ -26,7 +26,7 @@
     view: view.View
     finder: candidates.CandidateFinder
     planner: planner.Planner
-    follower: following.Follower
+    follower: following.PrefixFollower
 
     def compose(self) -> messages.StatusAnswer:
         """Return the status now."""
@@ -36,7 +36,7 @@
             configuration=self.configuration.current.number,
             plan_revision=self.plans.revision,
             is_planner=self.planner.leadership.is_held(),
-            platform_answering=self.follower.answering,
+            platform_answering=self.follower.is_answering,
             entries=tuple(self._entry(member) for member in self.roster.members()),
             services=tuple(self._services()),
             zones=tuple(self._zones()),
--- a/toucanhold/outside.py
+++ b/toucanhold/outside.py
@@ -28,7 +28,7 @@
     """Return the adapters to the real systems."""
     return Outside(
         platform=etcd.EtcdClient(own.platform_url, own.entry),
-        vm_list=vms.HttpVmList(own.vm_list_url) if own.vm_list_url else vms.NoVmList(),
+        vm_list=vms.HttpVmList(own.vm_list_url) if own.vm_list_url else vms.EmptyVmList(),
         backends=http.HttpBackendClient(),
         peers=transport.TcpTransport(),
         server=serving.HypercornServer(own.idle_timeout_s, (own.tls_certificate, own.tls_key)),
--- a/toucanhold/platform/entry.py
+++ b/toucanhold/platform/entry.py
@@ -79,7 +79,7 @@
         self.board = records.GroupBoard(self.mirror)
         self.routes = table.RouteTableHolder()
         self.closed_zones: set[str] = set()
-        self.mirror.listen(configuration.PREFIX, self._apply_operator_settings)
+        self.mirror.add_listener(configuration.PREFIX, self._apply_operator_settings)
         self.entries = entries.EntryList(self._own_entry(), self.store, self.mirror, self.rng)
         self.servers = servers.PlatformServerClient()
         self._build_relay()
--- a/toucanhold/platform/store.py
+++ b/toucanhold/platform/store.py
@@ -60,21 +60,21 @@
         The revision is that of the first page, so a watch from there repeats what changed between
         the pages.
         """
-        result = await self._read_pages(prefix, may_be_old=False)
+        result = await self._read_pages(prefix, may_be_stale=False)
         kept = tuple(item for item in result.items if item.mod_revision >= min_mod_revision)
         return keyvalue.RangeResult(result.revision, kept)
 
-    async def read_all(self, may_be_old: bool) -> keyvalue.RangeResult:
+    async def read_all(self, may_be_stale: bool) -> keyvalue.RangeResult:
         """See :class:`watching.ChangeSource`."""
-        return await self._read_pages("", may_be_old)
+        return await self._read_pages("", may_be_stale)
 
-    async def _read_pages(self, prefix: str, may_be_old: bool) -> keyvalue.RangeResult:
+    async def _read_pages(self, prefix: str, may_be_stale: bool) -> keyvalue.RangeResult:
         items: list[keyvalue.Item] = []
         first_revision = 0
         after = ""
         while True:
             query = {"path_prefix": prefix} | ({"after": after} if after else {})
-            if may_be_old:
+            if may_be_stale:
                 query["serializable"] = "1"
             status, answer = await self._call("GET", "/kv-range", query=query)
             _expect(status, 200, answer)
--- a/toucanhold/registry/registry.py
+++ b/toucanhold/registry/registry.py
@@ -48,7 +48,7 @@
 
     def __attrs_post_init__(self) -> None:
         """Follow the registrations."""
-        self.source.listen(self.prefix, self._take)
+        self.source.add_listener(self.prefix, self._take)
 
     def listen(self, listener: collections.abc.Callable[[], None]) -> None:
         """Call ``listener`` after each change."""
--- a/toucanhold/replicas/planner.py
+++ b/toucanhold/replicas/planner.py
@@ -76,8 +76,8 @@
         self.orderer = ordering.Orderer(self.engines, self.known, self._fence)
         self.prober = probing.Prober(self.board, self.known, self.orderer, self._news.wake)
         self.known.listen(self._news.wake)
-        self.source.listen(records.GROUPS_PREFIX, lambda keys: self._news.wake())
-        self.source.listen(plan.PLANNER_KEY, lambda keys: self._news.wake())
+        self.source.add_listener(records.GROUPS_PREFIX, lambda keys: self._news.wake())
+        self.source.add_listener(plan.PLANNER_KEY, lambda keys: self._news.wake())
 
     def may_act(self) -> bool:
         """Tell whether this entry is the planner and has seen all that was written before."""
--- a/toucanhold/replicas/records.py
+++ b/toucanhold/replicas/records.py
@@ -107,7 +107,7 @@
 
     def __attrs_post_init__(self) -> None:
         """Follow the records."""
-        self.source.listen(GROUPS_PREFIX, self._take)
+        self.source.add_listener(GROUPS_PREFIX, self._take)
 
     def put(self, group: Group) -> None:
         """Take in what this process has just written, ahead of the mirror."""
