--- a/toucanhold/coordination/lease.py
+++ b/toucanhold/coordination/lease.py
@@ -19,7 +19,7 @@
 
     :ivar value: what the holder writes
     :ivar ttl_s: time after which the service lets an unrenewed key go
-    :ivar is_taken: tells for free that another client holds the key; false where unknown
+    :ivar is_held_elsewhere: tells for free that another client holds the key; false where unknown
     :ivar is_contended: whether other clients try to hold the key as well
     :ivar fencing: the key's create revision while held: it grows with each holder
     """
@@ -29,7 +29,7 @@
     value: bytes
     ttl_s: int
     rng: random.Random
-    is_taken: collections.abc.Callable[[], bool] = attrs.field(default=lambda: False, kw_only=True)
+    is_held_elsewhere: collections.abc.Callable[[], bool] = attrs.field(default=lambda: False, kw_only=True)
     is_contended: bool = attrs.field(default=True, kw_only=True)
     fencing: int = 0
     _lease: int = attrs.field(default=0, init=False)
@@ -52,7 +52,7 @@
             try:
                 if self.is_held():
                     await self._renew()
-                elif not self.is_taken():
+                elif not self.is_held_elsewhere():
                     await self._acquire()
             except keyvalue.KeyValueError as error:
                 LOGGER.debug("lease on %s: %s", self.key, error)
