--- a/toucanhold/coordination/lease.py
+++ b/toucanhold/coordination/lease.py
@@ -29,7 +29,9 @@
     value: bytes
     ttl_s: int
     rng: random.Random
-    is_held_elsewhere: collections.abc.Callable[[], bool] = attrs.field(default=lambda: False, kw_only=True)
+    is_held_elsewhere: collections.abc.Callable[[], bool] = attrs.field(
+        default=lambda: False, kw_only=True
+    )
     is_contended: bool = attrs.field(default=True, kw_only=True)
     fencing: int = 0
     _lease: int = attrs.field(default=0, init=False)
--- a/toucanhold/platform/__init__.py
+++ b/toucanhold/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: its settings, store, backend servers and callers.
+"""Adapter to the users' platform: settings, store, backend servers and callers' HTTP interface.
 
 Nothing outside this package knows the platform's paths, headers, keys or field names.
 """
--- a/toucanhold/platform/configuration.py
+++ b/toucanhold/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration, and the zones they have taken out."""
+"""Parses the operators' configuration and names the keys of evacuated availability zones."""
 
 from __future__ import annotations
 
@@ -19,111 +19,113 @@
 
 
 class ConfigurationError(Exception):
-    """A configuration cannot be read."""
+    """A configuration is not valid JSON, or a field is missing or of the wrong type."""
 
 
 def decode(item: keyvalue.Item) -> table.RouteTable:
-    """Return the routes, services and workspaces of a configuration.
+    """Return the routes, services and workspaces of the configuration stored in ``item``.
 
-    :raises ConfigurationError: when it cannot be read
+    :raises ConfigurationError: when the value is malformed
     """
     try:
-        return _table(json.loads(item.value))
+        return _parse_route_table(json.loads(item.value))
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
         raise ConfigurationError(f"{type(error).__name__}: {error}") from error
 
 
-def _table(plain: dict[str, typing.Any]) -> table.RouteTable:
+def _parse_route_table(fields: dict[str, typing.Any]) -> table.RouteTable:
     routes: dict[str, dict[str, table.Route]] = {}
-    for each in plain["routes"]:
-        route = _route(each)
+    for each in fields["routes"]:
+        route = _parse_route(each)
         routes.setdefault(route.host, {})[route.prefix] = route
-    services = {each["name"]: _service(each) for each in plain["services"]}
-    tenants = plain.get("tenants") or []
+    services = {each["name"]: _parse_service(each) for each in fields["services"]}
+    tenants = fields.get("tenants") or []
     workspaces = {
         key: table.Workspace(tenant["name"], tenant.get("priority"))
         for tenant in tenants
         for key in tenant.get("api_keys") or ()
     }
     return table.RouteTable(
-        version=int(plain["version"]),
+        version=int(fields["version"]),
         routes=routes,
         services=services,
         workspaces=workspaces,
         has_workspaces=bool(tenants),
-        limits=_limits(plain.get("limits") or {}),
+        limits=_parse_limits(fields.get("limits") or {}),
     )
 
 
-def _route(plain: dict[str, typing.Any]) -> table.Route:
-    # A route names either one service or a split.
-    split = plain.get("split") or [{"service": plain["service"], "weight": 1}]
-    shares = tuple(table.ServiceShare(each["service"], each["weight"]) for each in split)
-    is_stream = plain["kind"] == STREAMING
-    timeout_s = plain["timeout_ms"] / 1000
+def _parse_route(fields: dict[str, typing.Any]) -> table.Route:
+    # A route names either one service or a weighted list of services.
+    weighted_services = fields.get("split") or [{"service": fields["service"], "weight": 1}]
+    shares = tuple(
+        table.ServiceShare(each["service"], each["weight"]) for each in weighted_services
+    )
+    is_stream = fields["kind"] == STREAMING
+    timeout_s = fields["timeout_ms"] / 1000
     return table.Route(
-        name=plain["name"],
-        host=plain["host"].lower(),
-        prefix=plain["path_prefix"],
+        name=fields["name"],
+        host=fields["host"].lower(),
+        prefix=fields["path_prefix"],
         split=tuple(share for share in shares if share.weight > 0) or shares,
-        repeatability=_repeatability(plain),
+        repeatability=_parse_repeatability(fields),
         is_stream=is_stream,
-        attempts=int(plain.get("attempts") or 1),
+        attempts=int(fields.get("attempts") or 1),
         timeout_s=timeout_s,
-        objective_s=(plain.get("goal_ms") or plain["timeout_ms"]) / 1000,
-        gap_objective_s=(plain.get("gap_target_ms") or plain["timeout_ms"]) / 1000,
-        rank=int(plain.get("priority") or 0),
-        is_public=bool(plain.get("public")),
+        objective_s=(fields.get("goal_ms") or fields["timeout_ms"]) / 1000,
+        gap_objective_s=(fields.get("gap_target_ms") or fields["timeout_ms"]) / 1000,
+        rank=int(fields.get("priority") or 0),
+        is_public=bool(fields.get("public")),
     )
 
 
-def _repeatability(plain: dict[str, typing.Any]) -> table.Repeatability:
-    if plain["kind"] == STREAMING and plain.get("resumable"):
+def _parse_repeatability(fields: dict[str, typing.Any]) -> table.Repeatability:
+    if fields["kind"] == STREAMING and fields.get("resumable"):
         return table.Repeatability.RESUMABLE
-    if plain["kind"] == IDEMPOTENT:
+    if fields["kind"] == IDEMPOTENT:
         return table.Repeatability.IDEMPOTENT
     return table.Repeatability.ONCE
 
 
-def _service(plain: dict[str, typing.Any]) -> table.Service:
-    engine = plain.get("engine")
+def _parse_service(fields: dict[str, typing.Any]) -> table.Service:
+    engine = fields.get("engine")
     return table.Service(
-        name=plain["name"],
-        cold_requests_per_s=plain.get("cold_per_s") or 0.0,
-        engine=_engine(engine) if engine and engine.get("models") else None,
+        name=fields["name"],
+        cold_requests_per_s=fields.get("cold_per_s") or 0.0,
+        engine=_parse_engine(engine) if engine and engine.get("models") else None,
     )
 
 
-def _engine(plain: dict[str, typing.Any]) -> table.Engine:
+def _parse_engine(fields: dict[str, typing.Any]) -> table.Engine:
     return table.Engine(
-        models=tuple(_model(each) for each in plain["models"]),
-        slots=int(plain["slots"]),
-        memory_tokens=int(plain.get("kv_capacity") or 0),
-        step_s=(plain.get("step_ms") or 0) / 1000,
-        stride=int(plain.get("stride") or 1),
-        prefill_tokens_per_s=plain.get("read_per_s") or 0.0,
-        form_s=(plain.get("form_ms") or 0) / 1000,
-        loads_per_s=plain.get("loads_per_s") or 0.0,
-        loads_at_once=int(plain.get("loads_at_once") or 1),
-        step_per_request_s=(plain.get("per_seq_ms") or 0) / 1000,
-        prefill_step_tokens=int(plain.get("chunk") or 0),
+        models=tuple(_parse_model(each) for each in fields["models"]),
+        slots=int(fields["slots"]),
+        memory_tokens=int(fields.get("kv_capacity") or 0),
+        step_s=(fields.get("step_ms") or 0) / 1000,
+        stride=int(fields.get("stride") or 1),
+        prefill_tokens_per_s=fields.get("read_per_s") or 0.0,
+        form_s=(fields.get("form_ms") or 0) / 1000,
+        loads_per_s=fields.get("loads_per_s") or 0.0,
+        loads_at_once=int(fields.get("loads_at_once") or 1),
+        step_per_request_s=(fields.get("per_seq_ms") or 0) / 1000,
+        prefill_step_tokens=int(fields.get("chunk") or 0),
     )
 
 
-def _model(plain: dict[str, typing.Any]) -> table.Model:
+def _parse_model(fields: dict[str, typing.Any]) -> table.Model:
     return table.Model(
-        name=plain["name"],
-        size=int(plain.get("size") or 1),
-        share=plain.get("share") or 0.0,
-        pace=plain.get("pace") or 1.0,
-        load_s=plain.get("load_s") or 0.0,
-        warm_s=plain.get("warm_s") or 0.0,
+        name=fields["name"],
+        size=int(fields.get("size") or 1),
+        share=fields.get("share") or 0.0,
+        pace=fields.get("pace") or 1.0,
+        load_s=fields.get("load_s") or 0.0,
+        warm_s=fields.get("warm_s") or 0.0,
     )
 
 
-def _limits(plain: dict[str, typing.Any]) -> table.Limits:
+def _parse_limits(fields: dict[str, typing.Any]) -> table.Limits:
     return table.Limits(
-        header_bytes=plain.get("max_header_bytes") or DEFAULT_HEADER_BYTES,
-        body_bytes=plain.get("max_body_bytes") or DEFAULT_BODY_BYTES,
-        idle_timeout_s=(plain.get("idle_timeout_ms") or DEFAULT_IDLE_TIMEOUT_S * 1000) / 1000,
+        header_bytes=fields.get("max_header_bytes") or DEFAULT_HEADER_BYTES,
+        body_bytes=fields.get("max_body_bytes") or DEFAULT_BODY_BYTES,
+        idle_timeout_s=(fields.get("idle_timeout_ms") or DEFAULT_IDLE_TIMEOUT_S * 1000) / 1000,
     )
--- a/toucanhold/platform/directory.py
+++ b/toucanhold/platform/directory.py
@@ -1,4 +1,4 @@
-"""Tells callers where to connect, and the platform whether this entry is ready."""
+"""Serves the directory of entry addresses, the readiness check and the metrics over HTTP."""
 
 from __future__ import annotations
 
@@ -15,16 +15,20 @@
 RESOLVE_PATH = "/resolve"
 READY_PATH = "/ready"
 METRICS_PATH = "/metrics"
-# Some callers keep an answer three times as long; an entry that stops serves them for that time.
-KEEP_S = 1
+# Some callers cache an answer for three times its TTL; an entry that stops keeps serving that long.
+ADDRESS_TTL_S = 1
 MAX_ADDRESSES = 64
 
 
 @attrs.define(eq=False)
 class DirectoryApp:
-    """Answers callers that ask where to connect."""
+    """Answers callers with the addresses of entries that they may connect to.
 
-    listed: entries.EntryList
+    :ivar entry_list: the entries that are known to serve
+    :ivar rng: shuffles the addresses so that callers spread over the entries
+    """
+
+    entry_list: entries.EntryList
     rng: random.Random
 
     async def __call__(self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send) -> None:
@@ -32,9 +36,9 @@
         if scope["type"] == "lifespan":
             await asgi.acknowledge_lifespan(receive, send)
         elif scope["type"] == "http":
-            await self._answer(scope, send)
+            await self._respond(scope, send)
 
-    async def _answer(self, scope: asgi.Scope, send: asgi.Send) -> None:
+    async def _respond(self, scope: asgi.Scope, send: asgi.Send) -> None:
         if scope["path"] != RESOLVE_PATH:
             await asgi.respond(send, 404, [], b"")
             return
@@ -44,20 +48,23 @@
         if not addresses:
             await asgi.respond(send, 503, [], b"")
             return
-        await asgi.respond_json(send, 200, {"addresses": addresses, "ttl_s": KEEP_S})
+        await asgi.respond_json(send, 200, {"addresses": addresses, "ttl_s": ADDRESS_TTL_S})
 
     def addresses(self, zone: str) -> list[str]:
-        """Return where a caller of a zone may connect, in no order."""
-        chosen = sharing.advertised(sharing.near(self.listed.serving(), zone), zone, time.time())
-        self.rng.shuffle(chosen)
-        return [entry.callers_address for entry in chosen[:MAX_ADDRESSES]]
+        """Return up to ``MAX_ADDRESSES`` entry addresses for a caller in ``zone``, shuffled."""
+        entries_to_list = sharing.advertised(
+            sharing.near(self.entry_list.serving(), zone), zone, time.time()
+        )
+        self.rng.shuffle(entries_to_list)
+        return [entry.callers_address for entry in entries_to_list[:MAX_ADDRESSES]]
 
 
 @attrs.define(eq=False)
 class ReadinessApp:
-    """Tells whether this entry takes requests, and gives its metrics.
+    """Serves the readiness check and the metrics of this entry.
 
-    :ivar is_ready: whether it does
+    :ivar is_ready: returns whether this entry accepts requests
+    :ivar metrics: served at ``/metrics``
     """
 
     is_ready: collections.abc.Callable[[], bool]
@@ -68,9 +75,9 @@
         if scope["type"] == "lifespan":
             await asgi.acknowledge_lifespan(receive, send)
         elif scope["type"] == "http":
-            await self._answer(scope, send)
+            await self._respond(scope, send)
 
-    async def _answer(self, scope: asgi.Scope, send: asgi.Send) -> None:
+    async def _respond(self, scope: asgi.Scope, send: asgi.Send) -> None:
         if scope["path"] == METRICS_PATH:
             content_type = (b"content-type", metrics.CONTENT_TYPE)
             await asgi.respond(send, 200, [content_type], self.metrics.exposition())
--- a/toucanhold/platform/entry.py
+++ b/toucanhold/platform/entry.py
@@ -49,7 +49,7 @@
 PLANNER_GATHER_S = 0.05
 METRICS_PORT = 9464
 # Callers keep an address for up to three times the directory's word, and then some.
-LATE_CALLERS_S = 3.2 * directory.KEEP_S
+LATE_CALLERS_S = 3.2 * directory.ADDRESS_TTL_S
 IDLE_TIMEOUT_S = 75.0
 
 LOGGER = logging.getLogger(__name__)
--- a/toucanhold/platform/front.py
+++ b/toucanhold/platform/front.py
@@ -1,4 +1,4 @@
-"""The callers' face: HTTP requests into calls, and answers back."""
+"""Serves callers over HTTP: turns requests into calls and sends the answers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from toucanhold.gateway import calls, gateway
 from toucanhold.platform import headers
 
-# A caller that names no time is given this much.
+# Deadline of a request without a deadline header.
 DEFAULT_WAIT_S = 30.0
 BODY_LIMIT_BYTES = 64 * 1024 * 1024
 
@@ -33,21 +33,25 @@
 
 @attrs.define(eq=False)
 class HttpReply(calls.Reply):
-    """An answer on its way to the caller.
-
-    :ivar is_last: whether the connection is to be closed after it
-    :ivar first_s: time of the run's clock at which its first part was sent
-    :ivar longest_pause_s: between two parts
+    """Sends the answer to one request to the caller.
+
+    :ivar send_message: sends one ASGI message
+    :ivar is_closing: whether the connection is closed after the answer
+    :ivar timer: records the request's duration and number of events
+    :ivar status: HTTP status sent, 0 until then
+    :ivar is_complete: whether the whole body was sent
+    :ivar first_chunk_s: time of trio's clock at which the first chunk was sent
+    :ivar longest_pause_s: longest time between two consecutive chunks
     """
 
     send_message: asgi.Send
-    is_last: bool
+    is_closing: bool
     timer: metrics.RequestTimer
     status: int = 0
     is_complete: bool = False
-    first_s: float | None = None
+    first_chunk_s: float | None = None
     longest_pause_s: float = 0.0
-    _last_s: float = 0.0
+    _last_chunk_s: float = 0.0
 
     async def start(self, status: int, lines: calls.Headers, length_bytes: int | None) -> None:
         """See :class:`calls.Reply`."""
@@ -55,38 +59,38 @@
         sent = list(lines)
         if length_bytes is not None:
             sent.append((b"content-length", str(length_bytes).encode()))
-        if self.is_last:
+        if self.is_closing:
             sent.append((b"connection", b"close"))
-        with _uncut():
+        with _shielded():
             await asgi.start(self.send_message, status, sent)
 
     async def send(self, chunk: bytes) -> None:
         """See :class:`calls.Reply`."""
         self.timer.note_events(1)
-        self._note_time()
-        with _uncut():
+        self._record_chunk_time()
+        with _shielded():
             await asgi.write(self.send_message, chunk, True)
 
-    def _note_time(self) -> None:
+    def _record_chunk_time(self) -> None:
         now_s = trio.current_time()
-        if self.first_s is None:
-            self.first_s = now_s
+        if self.first_chunk_s is None:
+            self.first_chunk_s = now_s
         else:
-            self.longest_pause_s = max(self.longest_pause_s, now_s - self._last_s)
-        self._last_s = now_s
+            self.longest_pause_s = max(self.longest_pause_s, now_s - self._last_chunk_s)
+        self._last_chunk_s = now_s
 
     async def finish(self) -> None:
         """See :class:`calls.Reply`."""
         self.is_complete = True
-        with _uncut():
+        with _shielded():
             await asgi.write(self.send_message, b"", False)
 
 
 @attrs.define(eq=False)
 class FrontApp:
-    """Serves callers.
+    """ASGI application that forwards callers' requests to the gateway.
 
-    :ivar is_stopping: returns whether callers are to use other entries
+    :ivar is_stopping: returns whether this entry is stopping: answers then close their connection
     """
 
     gateway: gateway.Gateway
@@ -114,8 +118,8 @@
         reply = HttpReply(send, self.is_stopping(), timer)
         outcome = "left"
         async with trio.open_nursery() as nursery:
-            # A caller who leaves must free the backend server's slot at once.
-            nursery.start_soon(_cancel_when_gone, receive, nursery.cancel_scope)
+            # When the caller disconnects, the backend server's slot must be freed at once.
+            nursery.start_soon(_cancel_on_disconnect, receive, nursery.cancel_scope)
             outcome = await self._answer(call, reply)
             nursery.cancel_scope.cancel()
         timer.finish(reply.status, outcome)
@@ -127,7 +131,11 @@
             model=call.model or None,
             status=reply.status or None,
             outcome=outcome,
-            first_s=round(reply.first_s - arrived_s, 3) if reply.first_s is not None else None,
+            first_s=(
+                round(reply.first_chunk_s - arrived_s, 3)
+                if reply.first_chunk_s is not None
+                else None
+            ),
             longest_pause_s=round(reply.longest_pause_s, 3),
             took_s=round(trio.current_time() - arrived_s, 3),
         )
@@ -140,15 +148,16 @@
             await _refuse(reply, error)
             return error.reason.value
         except calls.AnswerLostError as error:
-            # The app returns with the answer unfinished, and the server closes the connection:
-            # what has been sent can't be taken for the whole.
+            # Returning with the answer unfinished makes the HTTP server close the connection, so
+            # the caller cannot take a truncated answer for a complete one.
             return f"broken off: {error}"
 
 
 def read_call(scope: asgi.Scope, body: bytes, arrived_s: float) -> calls.Call:
-    """Return the call that a request stands for.
+    """Return the call for a request.
 
-    :param arrived_s: time of the run's clock
+    :param scope: ASGI scope of the request
+    :param arrived_s: time of trio's clock at which the request arrived
     """
     lines = scope["headers"]
     target = scope["raw_path"]
@@ -162,24 +171,24 @@
         host=headers.find(lines, b"host").lower(),
         path=path,
         target=target,
-        headers=headers.forwarded(lines),
+        headers=headers.headers_to_forward(lines),
         body=body,
-        key=headers.find(lines, headers.KEY) or None,
+        key=headers.find(lines, headers.API_KEY) or None,
         arrived_s=arrived_s,
-        deadline_s=arrived_s + _wait_s(headers.find(lines, headers.REMAINING_MS)),
+        deadline_s=arrived_s + _parse_wait_s(headers.find(lines, headers.REMAINING_MS)),
         model=headers.find(lines, headers.MODEL),
         last_event_id=int(last_event_id) if last_event_id.isdigit() else None,
     )
 
 
-def _wait_s(text: str) -> float:
+def _parse_wait_s(text: str) -> float:
     return int(text) / 1000 if text.isdigit() else DEFAULT_WAIT_S
 
 
 async def _refuse(reply: HttpReply, error: calls.CallError) -> None:
     status = STATUSES[error.reason]
     if error.has_run:
-        # 503 would promise that the request never runs.
+        # 503 would tell the caller that the request was not executed.
         status = 504 if error.reason is calls.RefusalReason.TOO_LATE else 502
     lines = [(b"content-type", b"text/plain")]
     if error.retry_after_s is not None and not error.has_run:
@@ -190,14 +199,14 @@
     await reply.finish()
 
 
-def _uncut() -> trio.CancelScope:
-    # A caller who leaves while a message is being sent would cancel it between the parser's step
-    # and the connection's; the HTTP server then fails as a whole, and every caller with it. Each
-    # message is short, and a caller that stops reading is ended by the kernel.
+def _shielded() -> trio.CancelScope:
+    # Without the shield, a caller that disconnects during a send would cancel it after the HTTP
+    # parser's state has advanced but before the connection's has; the HTTP server then fails for
+    # every caller. Messages are short, and the kernel ends connections whose peer stops reading.
     return trio.CancelScope(shield=True)
 
 
-async def _cancel_when_gone(receive: asgi.Receive, scope: trio.CancelScope) -> None:
+async def _cancel_on_disconnect(receive: asgi.Receive, scope: trio.CancelScope) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
     scope.cancel()
--- a/toucanhold/platform/gauges.py
+++ b/toucanhold/platform/gauges.py
@@ -1,4 +1,4 @@
-"""Counters and gauges of an entry on the users' platform, read when a scraper asks."""
+"""Counters and gauges of an entry on the users' platform, read at each scrape."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def register(entry: entries.PlatformEntry) -> None:
-    """Add what tells the cost of control, by cause, and how fresh this entry's picture is."""
+    """Register metrics of control traffic by kind, of queueing, and of the load data's age."""
 
     def store_calls() -> metrics.Observed:
         for kind, count in entry.store.calls.items():
--- a/toucanhold/platform/headers.py
+++ b/toucanhold/platform/headers.py
@@ -1,25 +1,25 @@
-"""The platform's headers, and what they hold."""
+"""Names of the platform's HTTP headers, and filters for the headers that are forwarded."""
 
 from __future__ import annotations
 
 import collections.abc
 
-# Names one attempt of a caller, not the request that it repeats.
+# Identifies one attempt; a caller's repeat of the same request has another identifier.
 CALL_ID = b"x-attempt-id"
 REMAINING_MS = b"x-deadline-remaining-ms"
 TARGET_INSTANCE = b"x-target-instance"
-# The platform's word for a workspace is tenant.
+# The platform calls a workspace a tenant.
 WORKSPACE = b"x-tenant"
-KEY = b"x-credential"
+API_KEY = b"x-credential"
 LAST_EVENT_ID = b"last-event-id"
 MODEL = b"x-model"
-# The server's signature of an answer.
+# Signature of an answer by the backend server.
 SEAL = b"x-server-seal"
 NOT_RUN = b"x-not-executed"
-# The member that keeps a group's head from working.
+# Identifier of the group member that prevents the head from serving.
 AT_FAULT = b"at-server"
 
-CONNECTION_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -32,8 +32,8 @@
         b"upgrade",
     )
 )
-# Set anew towards servers, whatever the caller sent.
-OWN_HEADERS = frozenset(
+# Replaced or dropped in requests to backend servers, whatever the caller sent.
+REPLACED_HEADERS = frozenset(
     (
         b"host",
         b"content-length",
@@ -42,34 +42,34 @@
         REMAINING_MS,
         TARGET_INSTANCE,
         WORKSPACE,
-        KEY,
+        API_KEY,
         LAST_EVENT_ID,
     )
 )
 
-Lines = collections.abc.Iterable[tuple[bytes, bytes]]
+HeaderLines = collections.abc.Iterable[tuple[bytes, bytes]]
 
 
-def find(lines: Lines, name: bytes) -> str:
-    """Return the first value of a header, or an empty string."""
+def find(lines: HeaderLines, name: bytes) -> str:
+    """Return the first value of the header ``name`` (lower case), or an empty string."""
     for key, value in lines:
         if key.lower() == name:
             return value.decode("latin-1")
     return ""
 
 
-def forwarded(lines: Lines) -> tuple[tuple[bytes, bytes], ...]:
-    """Return what of a caller's headers is passed on as it came."""
-    found = [(key.lower(), value) for key, value in lines]
-    dropped = CONNECTION_HEADERS | OWN_HEADERS | _named_by_connection(found)
-    return tuple((key, value) for key, value in found if key not in dropped)
+def headers_to_forward(lines: HeaderLines) -> tuple[tuple[bytes, bytes], ...]:
+    """Return the caller's headers that are forwarded unchanged, with names in lower case."""
+    normalized = [(key.lower(), value) for key, value in lines]
+    dropped = HOP_BY_HOP_HEADERS | REPLACED_HEADERS | _named_by_connection(normalized)
+    return tuple((key, value) for key, value in normalized if key not in dropped)
 
 
-def end_to_end(lines: Lines) -> tuple[tuple[bytes, bytes], ...]:
-    """Return what of a server's headers is passed on as it came; the length is set anew."""
-    found = [(key.lower(), value) for key, value in lines]
-    dropped = CONNECTION_HEADERS | {b"content-length"} | _named_by_connection(found)
-    return tuple((key, value) for key, value in found if key not in dropped)
+def end_to_end(lines: HeaderLines) -> tuple[tuple[bytes, bytes], ...]:
+    """Return the server's headers that are forwarded unchanged; content-length is set anew."""
+    normalized = [(key.lower(), value) for key, value in lines]
+    dropped = HOP_BY_HOP_HEADERS | {b"content-length"} | _named_by_connection(normalized)
+    return tuple((key, value) for key, value in normalized if key not in dropped)
 
 
 def _named_by_connection(lines: list[tuple[bytes, bytes]]) -> set[bytes]:
--- a/toucanhold/platform/servers.py
+++ b/toucanhold/platform/servers.py
@@ -90,7 +90,7 @@
         # A report leaves out what only the registration tells.
         known = {"service": server.service, "address": server.address, "zone": server.zone}
         state = {"state": registrations.STATE_READY, "born": server.born_ms}
-        found = registrations.from_plain(server.server_id, known | state | plain)
+        found = registrations.from_fields(server.server_id, known | state | plain)
         # In a report "seq" counts the orders that began something; in a registration the same
         # name counts the server's own writes.
         count = plain.get("seq")
--- a/toucanhold/platform/settings.py
+++ b/toucanhold/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process."""
+"""Reads the settings file that the platform writes for each process."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 
 
 class SettingsError(Exception):
-    """The settings file cannot be read, or is wrong; the text names every mistake."""
+    """The settings file cannot be read or is invalid; the message lists every invalid field."""
 
 
 @attrs.frozen
 class Bounds:
-    """What the operators allow, in the units that the names say.
-
-    :ivar retry_ratio: repeats that a service bears, as a share of its requests
-    :ivar retry_slack: and this many more
-    :ivar cold_overage: factor on what a cold server says that it bears in a second
-    :ivar cold_slack: and this many more
-    :ivar stall_s: time after which a head that lacks a member breaks by itself
-    :ivar grace_s: time between the signal to stop and the kill
-    :ivar directory_keep_s: longest time that callers keep an answer of the directory
+    """Limits set by the operators.
+
+    :ivar retry_ratio: retries allowed for a service, as a share of its requests
+    :ivar retry_slack: retries allowed in addition, a number
+    :ivar retry_window_s: window in which requests and retries are counted
+    :ivar cold_overage: factor on the requests per second that a cold server says it can take
+    :ivar cold_slack: requests allowed to cold servers in addition, a number
+    :ivar stall_s: time after which a head that lacks a member fails by itself
+    :ivar grace_s: time between the stop signal and the kill
+    :ivar directory_keep_s: longest time for which callers cache an answer of the directory
     """
 
     retry_ratio: float
@@ -41,13 +42,17 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """What one process learns at its start.
+    """Settings of one process, from the file that it reads at its start.
 
     :ivar entry: the machine's name
-    :ivar exchange_address: where other entries send to; the first of the ports between machines
+    :ivar zone: availability zone of this entry
+    :ivar callers_address: ``IP:port`` that callers connect to
+    :ivar readiness_address: ``IP:port`` of the readiness check
+    :ivar directory_address: ``IP:port`` of the directory
+    :ivar exchange_address: ``IP:port`` that other entries send to, on the first internal port
     :ivar store_address: ``IP:port`` of the platform's store
-    :ivar least_lease_s: shortest lease that the store grants
-    :ivar cores: the processor's share, in cores of usual speed
+    :ivar min_lease_s: shortest lease that the store grants
+    :ivar cores: this process's share of the processor, in cores of standard speed
     """
 
     entry: str
@@ -58,56 +63,57 @@
     directory_address: str
     exchange_address: str
     store_address: str
-    least_lease_s: float
+    min_lease_s: float
     cores: float
     bounds: Bounds
 
 
-class _Reader:
-    """Reads fields by path and gathers the mistakes."""
+class _FieldReader:
+    """Reads fields by dotted path and collects an error for each invalid field."""
 
-    def __init__(self, plain: collections.abc.Mapping[str, typing.Any]) -> None:
-        self.plain = plain
-        self.mistakes: list[str] = []
+    def __init__(self, document: collections.abc.Mapping[str, typing.Any]) -> None:
+        self.document = document
+        self.errors: list[str] = []
 
     def text(self, path: str, default: str | None = None) -> str:
-        found = self._find(path)
-        if isinstance(found, str) and found:
-            return found
-        if found is None and default is not None:
+        value = self._lookup(path)
+        if isinstance(value, str) and value:
+            return value
+        if value is None and default is not None:
             return default
-        self.mistakes.append(f"{path}: a text was expected, got {found!r}")
+        self.errors.append(f"{path}: a text was expected, got {value!r}")
         return ""
 
     def number(self, path: str, default: float, factor: float = 1.0) -> float:
-        found = self._find(path)
-        if found is None:
+        value = self._lookup(path)
+        if value is None:
             return default
-        if isinstance(found, bool) or not isinstance(found, int | float) or found < 0:
-            self.mistakes.append(f"{path}: a number of 0 or more was expected, got {found!r}")
+        if isinstance(value, bool) or not isinstance(value, int | float) or value < 0:
+            self.errors.append(f"{path}: a number of 0 or more was expected, got {value!r}")
             return default
-        return found * factor
+        return value * factor
 
     def first_port(self, path: str) -> int:
-        found = self._find(path)
-        if isinstance(found, list) and found and isinstance(found[0], int):
-            return found[0]
-        self.mistakes.append(f"{path}: two ports were expected, got {found!r}")
+        value = self._lookup(path)
+        if isinstance(value, list) and value and isinstance(value[0], int):
+            return value[0]
+        self.errors.append(f"{path}: two ports were expected, got {value!r}")
         return 0
 
-    def _find(self, path: str) -> typing.Any:
-        found: typing.Any = self.plain
+    def _lookup(self, path: str) -> typing.Any:
+        value: typing.Any = self.document
         for name in path.split("."):
-            if not isinstance(found, collections.abc.Mapping):
+            if not isinstance(value, collections.abc.Mapping):
                 return None
-            found = found.get(name)
-        return found
+            value = value.get(name)
+        return value
 
 
 def load(variables: collections.abc.Mapping[str, str]) -> PlatformSettings:
-    """Read and check the file that the environment names.
+    """Read and check the settings file that ``FILE_VARIABLE`` names.
 
-    :raises SettingsError: naming every mistake
+    :param variables: environment variables
+    :raises SettingsError: when the file cannot be read or is invalid; lists every invalid field
     """
     path = variables.get(FILE_VARIABLE)
     if not path:
@@ -119,11 +125,12 @@
 
 
 def parse(text: str) -> PlatformSettings:
-    """Check the text of a settings file; unknown fields are passed over.
+    """Parse the TOML text of a settings file; unknown fields are ignored.
 
-    :raises SettingsError: naming every mistake
+    :raises SettingsError: when fields are invalid; lists each of them
+    :raises tomllib.TOMLDecodeError: when the text is not TOML
     """
-    reader = _Reader(tomllib.loads(text))
+    reader = _FieldReader(tomllib.loads(text))
     settings = PlatformSettings(
         entry=reader.text("node"),
         zone=reader.text("zone"),
@@ -133,17 +140,18 @@
         directory_address=reader.text("listen.directory"),
         exchange_address=f"{reader.text('ip')}:{reader.first_port('internal_ports')}",
         store_address=reader.text("platform.address"),
-        least_lease_s=reader.number("platform.ttl_min_ms", 1.0, 0.001),
-        # The wire's "cores" tells how many times as fast the one core is of which a share is had.
+        min_lease_s=reader.number("platform.ttl_min_ms", 1.0, 0.001),
+        # In the file, "cores" is the speed of the one core of which this process has a share,
+        # relative to a standard core.
         cores=reader.number("limits.cpu_share", 1.0) * reader.number("limits.cores", 1.0),
         bounds=_bounds(reader),
     )
-    if reader.mistakes:
-        raise SettingsError("; ".join(reader.mistakes))
+    if reader.errors:
+        raise SettingsError("; ".join(reader.errors))
     return settings
 
 
-def _bounds(reader: _Reader) -> Bounds:
+def _bounds(reader: _FieldReader) -> Bounds:
     return Bounds(
         retry_ratio=reader.number("bounds.retry_ratio", 0.2),
         retry_slack=reader.number("bounds.retry_slack", 0.0),
