--- a/tests/replica_scenes.py
+++ b/tests/replica_scenes.py
@@ -38,7 +38,7 @@
             self.name.encode(),
             plan.PLANNER_LEASE_S,
             rng,
-            is_held_elsewhere=lambda: plan.PLANNER_KEY in self.mirror.items,
+            is_acquisition_skipped=lambda: plan.PLANNER_KEY in self.mirror.items,
         )
         self.planner = planner.Planner(
             self.mirror,
--- a/toucanhold/coordination/lease.py
+++ b/toucanhold/coordination/lease.py
@@ -19,7 +19,8 @@
 
     :ivar value: what the holder writes
     :ivar ttl_s: time after which the service lets an unrenewed key go
-    :ivar is_held_elsewhere: tells for free that another client holds the key; false where unknown
+    :ivar is_acquisition_skipped: returns, without a call to the service, whether not to try to
+        acquire the key, as when another client is known to hold it; False where that is unknown
     :ivar is_contended: whether other clients try to hold the key as well
     :ivar fencing: the key's create revision while held: it grows with each holder
     """
@@ -29,7 +30,7 @@
     value: bytes
     ttl_s: int
     rng: random.Random
-    is_held_elsewhere: collections.abc.Callable[[], bool] = attrs.field(
+    is_acquisition_skipped: collections.abc.Callable[[], bool] = attrs.field(
         default=lambda: False, kw_only=True
     )
     is_contended: bool = attrs.field(default=True, kw_only=True)
@@ -54,7 +55,7 @@
             try:
                 if self.is_held():
                     await self._renew()
-                elif not self.is_held_elsewhere():
+                elif not self.is_acquisition_skipped():
                     await self._acquire()
             except keyvalue.KeyValueError as error:
                 LOGGER.debug("lease on %s: %s", self.key, error)
--- a/toucanhold/platform/entry.py
+++ b/toucanhold/platform/entry.py
@@ -178,7 +178,7 @@
             self.settings.entry.encode(),
             plan.PLANNER_LEASE_S,
             self.rng,
-            is_held_elsewhere=lambda: not self._is_planner_wanted(),
+            is_acquisition_skipped=lambda: not self._is_planner_wanted(),
         )
         self.planner = planner.Planner(
             self.mirror,
