--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -27,12 +27,12 @@
 
     def __attrs_post_init__(self):
         rng = random.Random(self.name)
-        self.copy = mirror.Mirror()
+        self.mirror = mirror.Mirror()
         transport = self.site.network.transport(self.name)
         client = self.site.platform.mirrored(self.name)
-        watch = watching.ServiceWatch(client, self.copy, lambda: 0.1, rng)
-        self.publisher = publishing.Publisher(self.copy, self.name, transport)
-        self.follower = following.Follower(self.copy, watch, transport, lambda: self.sources, rng)
+        watch = watching.ServiceWatch(client, self.mirror, lambda: 0.1, rng)
+        self.publisher = publishing.Publisher(self.mirror, self.name, transport)
+        self.follower = following.Follower(self.mirror, watch, transport, lambda: self.sources, rng)
         self.scope = trio.CancelScope()
 
     async def run(self):
@@ -47,7 +47,7 @@
         )
 
     def has(self, key):
-        return key in self.copy.items
+        return key in self.mirror.items
 
 
 @attrs.define(eq=False, slots=False)
@@ -111,10 +111,10 @@
             await trio.sleep(0.3)
         await site.write("things/3", None)
         await site.seconds_until(lambda: not site["f1"].has("things/3"), 0.5)
-        self.assertEqual(site["r1"].copy.items, site["f1"].copy.items)
+        self.assertEqual(site["r1"].mirror.items, site["f1"].mirror.items)
         self.assertEqual(before[0], site["f1"].calls())
         self.assertLess(before[1] + 20, site["r1"].calls())
-        self.assertTrue(site["f1"].copy.is_answering)
+        self.assertTrue(site["f1"].mirror.is_answering)
 
     @with_site
     async def test_an_entry_that_is_turned_away_by_the_service_is_left_in_time(self, site):
@@ -149,11 +149,11 @@
     async def test_an_outage_of_the_service_is_known_to_all_and_so_is_its_end(self, site):
         """Guards against followers that believe what lapsed in an outage."""
         site.platform.set_mode("down")
-        await site.seconds_until(lambda: not site["f2"].copy.is_answering, DRAIN_S)
+        await site.seconds_until(lambda: not site["f2"].mirror.is_answering, DRAIN_S)
         await trio.sleep(5)
         site.platform.set_mode("up")
-        await site.seconds_until(lambda: site["f2"].copy.is_answering, 3)
-        self.assertLess(site["f2"].copy.since_failure_s, 3)
+        await site.seconds_until(lambda: site["f2"].mirror.is_answering, 3)
+        self.assertLess(site["f2"].mirror.since_failure_s, 3)
 
     @with_site
     async def test_looks_for_a_source_in_an_outage_leave_no_streams_behind(self, site):
@@ -174,10 +174,10 @@
         await trio.sleep(0.3)
         late = Node("f3", site, ["r1"])
         # What it knows is older than what the source remembers.
-        late.copy.replace(keyvalue.RangeResult(2, (keyvalue.Item("old", b"x", 1, 2),)))
+        late.mirror.replace(keyvalue.RangeResult(2, (keyvalue.Item("old", b"x", 1, 2),)))
         site.nursery.start_soon(late.run)
         await trio.sleep(0.5)
-        self.assertEqual(site["r1"].copy.items, late.copy.items)
+        self.assertEqual(site["r1"].mirror.items, late.mirror.items)
 
     @with_site
     async def test_bytes_of_a_stranger_end_only_its_own_stream(self, site):
@@ -201,34 +201,34 @@
 
 class MirrorTest(unittest.TestCase):
     def setUp(self):
-        self.copy = mirror.Mirror()
+        self.mirror = mirror.Mirror()
         items = (keyvalue.Item("a", b"1", 1, 1), keyvalue.Item("b", b"1", 2, 5))
-        self.copy.replace(keyvalue.RangeResult(4, items))
+        self.mirror.replace(keyvalue.RangeResult(4, items))
 
     def test_changes_that_overlap_what_is_known_do_no_harm(self):
         newer = mirror.Changes(4, 9, (keyvalue.Item("a", b"2", 1, 9),))
-        self.copy.apply(newer)
+        self.mirror.apply(newer)
         older = mirror.Changes(3, 8, (keyvalue.Item("a", b"1", 1, 8),))
-        self.copy.apply(older)
-        self.assertEqual(b"2", self.copy.items["a"].value)
+        self.mirror.apply(older)
+        self.assertEqual(b"2", self.mirror.items["a"].value)
 
     def test_changes_after_a_gap_are_not_taken(self):
-        self.copy.apply(mirror.Changes(7, 9, (keyvalue.Item("a", b"2", 1, 9),)))
-        self.assertEqual((4, b"1"), (self.copy.revision, self.copy.items["a"].value))
+        self.mirror.apply(mirror.Changes(7, 9, (keyvalue.Item("a", b"2", 1, 9),)))
+        self.assertEqual((4, b"1"), (self.mirror.revision, self.mirror.items["a"].value))
 
     def test_an_old_deletion_does_not_take_a_later_item(self):
-        self.copy.apply(mirror.Changes(4, 6, (), (mirror.Deletion("b", 4),)))
-        self.assertIn("b", self.copy.items)
+        self.mirror.apply(mirror.Changes(4, 6, (), (mirror.Deletion("b", 4),)))
+        self.assertIn("b", self.mirror.items)
 
     def test_changes_since_merge_what_came_and_went(self):
-        self.copy.apply(mirror.Changes(4, 6, (keyvalue.Item("c", b"1", 6, 6),)))
-        self.copy.apply(mirror.Changes(6, 7, (), (mirror.Deletion("c", 7),)))
-        self.copy.apply(mirror.Changes(7, 8, (keyvalue.Item("a", b"2", 1, 8),)))
-        found = self.copy.changes_since(5)
+        self.mirror.apply(mirror.Changes(4, 6, (keyvalue.Item("c", b"1", 6, 6),)))
+        self.mirror.apply(mirror.Changes(6, 7, (), (mirror.Deletion("c", 7),)))
+        self.mirror.apply(mirror.Changes(7, 8, (keyvalue.Item("a", b"2", 1, 8),)))
+        found = self.mirror.changes_since(5)
         self.assertEqual((5, 8), (found.after, found.revision))
         self.assertEqual(["a"], [item.key for item in found.items])
         self.assertEqual(["c"], [deletion.key for deletion in found.deleted])
-        self.assertIsNone(self.copy.changes_since(3))
+        self.assertIsNone(self.mirror.changes_since(3))
 
 
 class OneWatchTest(unittest.TestCase):
@@ -283,7 +283,7 @@
             def note(keys):
                 late.sources[:] = ["r1"]
 
-            late.copy.add_listener("", note)
+            late.mirror.add_listener("", note)
             await site.write("things/first")
             nursery.start_soon(late.run)
             await trio.sleep(3)
@@ -304,7 +304,13 @@
             self.assertEqual(message, messages.decode(messages.encode(message)))
 
     def test_other_bytes_are_refused(self):
-        for body in (b"", b"z", b"znot compressed", b"p\xc1", messages.PLAIN + b"\x92\xa1x\x80"):
+        for body in (
+            b"",
+            b"z",
+            b"znot compressed",
+            b"p\xc1",
+            messages.PLAIN_MARKER + b"\x92\xa1x\x80",
+        ):
             with self.assertRaises(messages.MessageError):
                 messages.decode(body)
 
--- a/toucanhold/coordination/__init__.py
+++ b/toucanhold/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's services: the key-value service and the list of VMs."""
+"""Clients of the platform's key-value service and its VM list, and a mirror of the stored items."""
--- a/toucanhold/coordination/budget.py
+++ b/toucanhold/coordination/budget.py
@@ -1,4 +1,4 @@
-"""A budget of calls to the key-value service, counted by kind."""
+"""Limits the rate of calls to the key-value service with a token bucket."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 
 from toucanhold.coordination import keyvalue
 
-# What waits longer than this is better refused: its caller can tell that nothing was done.
+# A call that would wait longer is refused, which tells its caller that it had no effect.
 MAX_WAIT_S = 0.5
 
 
 @attrs.define(eq=False)
 class BudgetedClient(keyvalue.KeyValueClient):
-    """Passes calls on at a bounded rate; a watch counts as one call.
+    """Forwards calls to another client at a bounded rate; a watch counts as one call.
 
-    The service counts each call and serves all entries. One entry in a loop, or a burst of
-    orders, would otherwise use up what the others need to keep their leases.
+    The service counts each call and serves all entries. Without the limit, one entry in a loop or
+    a burst of orders would use up the calls that the others need to keep their leases.
 
-    :ivar rate_per_s: calls a second that the entry may make in the long run
-    :ivar burst: calls that it may make at once
-    :ivar calls: number of calls passed on, by kind
-    :ivar refused: number of calls refused for the budget's sake, by kind
+    :ivar inner: client that makes the calls
+    :ivar rate_per_s: rate at which tokens are added, in calls per second
+    :ivar burst: capacity of the bucket, in calls
+    :ivar calls: number of calls forwarded, by kind
+    :ivar refused: number of calls refused because of the limit, by kind
     """
 
     inner: keyvalue.KeyValueClient
@@ -34,7 +35,7 @@
     calls: collections.Counter[str] = attrs.field(factory=collections.Counter, init=False)
     refused: collections.Counter[str] = attrs.field(factory=collections.Counter, init=False)
     _tokens: float = attrs.field(init=False)
-    _filled_at_s: float = attrs.field(default=float("-inf"), init=False)
+    _refilled_at_s: float = attrs.field(default=float("-inf"), init=False)
 
     def __attrs_post_init__(self) -> None:
         """Start with a full bucket."""
@@ -46,12 +47,12 @@
 
     async def read(self, prefix: str, min_mod_revision: int = 0) -> keyvalue.RangeResult:
         """See :class:`keyvalue.KeyValueClient`."""
-        await self._spend("read")
+        await self._wait_for_token("read")
         return await self.inner.read(prefix, min_mod_revision)
 
     async def read_key(self, key: str) -> keyvalue.Item | None:
         """See :class:`keyvalue.KeyValueClient`."""
-        await self._spend("read")
+        await self._wait_for_token("read")
         return await self.inner.read_key(key)
 
     async def commit(
@@ -60,24 +61,24 @@
         writes: collections.abc.Sequence[keyvalue.Write],
     ) -> keyvalue.CommitResult:
         """See :class:`keyvalue.KeyValueClient`."""
-        await self._spend("commit")
+        await self._wait_for_token("commit")
         return await self.inner.commit(conditions, writes)
 
     async def grant_lease(self, ttl_s: int) -> int:
         """See :class:`keyvalue.KeyValueClient`."""
-        self._spend_at_once("lease")
+        self._take_token("lease")
         return await self.inner.grant_lease(ttl_s)
 
     async def keep_alive(self, lease: int) -> bool:
         """See :class:`keyvalue.KeyValueClient`."""
-        # Never held back: a renewal that waits behind orders costs the planner its lease and the
-        # entry its place in the directory, and both then make more calls.
-        self._spend_at_once("lease")
+        # Never delayed: a renewal that waits behind orders would cost the planner its lease and the
+        # entry its place in the directory, and acquiring them again takes more calls.
+        self._take_token("lease")
         return await self.inner.keep_alive(lease)
 
     async def revoke_lease(self, lease: int) -> None:
         """See :class:`keyvalue.KeyValueClient`."""
-        self._spend_at_once("lease")
+        self._take_token("lease")
         await self.inner.revoke_lease(lease)
 
     @contextlib.asynccontextmanager
@@ -85,29 +86,31 @@
         self, prefix: str, start_revision: int
     ) -> collections.abc.AsyncIterator[collections.abc.AsyncIterator[int]]:
         """See :class:`keyvalue.KeyValueClient`."""
-        await self._spend("watch")
+        await self._wait_for_token("watch")
         async with self.inner.watch(prefix, start_revision) as revisions:
             yield revisions
 
-    async def _spend(self, kind: str) -> None:
-        self._fill()
+    async def _wait_for_token(self, kind: str) -> None:
+        self._refill()
         wait_s = max(0.0, (1 - self._tokens) / self.rate_per_s)
         if wait_s > MAX_WAIT_S:
             self.refused[kind] += 1
-            raise keyvalue.UnavailableError("the entry's budget of calls is used up")
-        # The token is taken before the wait, so those who come later wait for their own.
-        self._spend_at_once(kind)
+            raise keyvalue.UnavailableError(
+                f"rate limit of {self.rate_per_s} calls/s exceeded: would wait {wait_s:.2f} s"
+            )
+        # The token is taken before the wait, so that later calls wait for later tokens.
+        self._take_token(kind)
         if wait_s:
             await trio.sleep(wait_s)
 
-    def _spend_at_once(self, kind: str) -> None:
-        self._fill()
+    def _take_token(self, kind: str) -> None:
+        self._refill()
         self._tokens -= 1
         self.calls[kind] += 1
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now_s = trio.current_time()
-        if self._filled_at_s != float("-inf"):
-            filled = self._tokens + (now_s - self._filled_at_s) * self.rate_per_s
-            self._tokens = min(self.burst, filled)
-        self._filled_at_s = now_s
+        if self._refilled_at_s != float("-inf"):
+            refilled = self._tokens + (now_s - self._refilled_at_s) * self.rate_per_s
+            self._tokens = min(self.burst, refilled)
+        self._refilled_at_s = now_s
--- a/toucanhold/coordination/etcd.py
+++ b/toucanhold/coordination/etcd.py
@@ -1,4 +1,4 @@
-"""The key-value service through the JSON gateway of etcd v3."""
+"""Client of the key-value service through the JSON gateway of etcd v3."""
 
 import base64
 import collections.abc
@@ -9,7 +9,7 @@
 import httpcore
 import trio
 
-from toucanhold.coordination import keyvalue, transfer
+from toucanhold.coordination import http_errors, keyvalue
 
 CALL_TIMEOUT_S = 2.0
 WATCH_IDLE_TIMEOUT_S = 60.0
@@ -18,10 +18,11 @@
 
 @attrs.define(eq=False)
 class EtcdClient(keyvalue.KeyValueClient):
-    """A client of one gateway address.
+    """Client of one gateway address.
 
     :ivar base_url: for example ``http://127.0.0.1:2379``
     :ivar client_name: sent as ``x-client`` so that the service's logs name the caller
+    :ivar call_timeout_s: longest duration of a call other than a watch
     """
 
     base_url: str
@@ -41,14 +42,17 @@
         request = {"key": _encode(start), "range_end": _encode(end)}
         if min_mod_revision:
             request["min_mod_revision"] = str(min_mod_revision)
-        answer = await self._call("/v3/kv/range", request)
-        return keyvalue.RangeResult(_revision(answer), tuple(map(_item, answer.get("kvs", []))))
+        response_fields = await self._call("/v3/kv/range", request)
+        return keyvalue.RangeResult(
+            _parse_revision(response_fields),
+            tuple(map(_parse_item, response_fields.get("kvs", []))),
+        )
 
     async def read_key(self, key: str) -> keyvalue.Item | None:
         """See :class:`keyvalue.KeyValueClient`."""
-        answer = await self._call("/v3/kv/range", {"key": _encode(key.encode())})
-        items = answer.get("kvs", [])
-        return _item(items[0]) if items else None
+        response_fields = await self._call("/v3/kv/range", {"key": _encode(key.encode())})
+        items = response_fields.get("kvs", [])
+        return _parse_item(items[0]) if items else None
 
     async def commit(
         self,
@@ -57,21 +61,27 @@
     ) -> keyvalue.CommitResult:
         """See :class:`keyvalue.KeyValueClient`."""
         request = {
-            "compare": [comparison for each in conditions for comparison in _comparisons(each)],
-            "success": [_operation(write) for write in writes],
+            "compare": [
+                comparison
+                for condition in conditions
+                for comparison in _encode_condition(condition)
+            ],
+            "success": [_encode_write(write) for write in writes],
         }
-        answer = await self._call("/v3/kv/txn", request)
-        return keyvalue.CommitResult(bool(answer.get("succeeded")), _revision(answer))
+        response_fields = await self._call("/v3/kv/txn", request)
+        return keyvalue.CommitResult(
+            bool(response_fields.get("succeeded")), _parse_revision(response_fields)
+        )
 
     async def grant_lease(self, ttl_s: int) -> int:
         """See :class:`keyvalue.KeyValueClient`."""
-        answer = await self._call("/v3/lease/grant", {"TTL": str(ttl_s)})
-        return int(answer["ID"])
+        response_fields = await self._call("/v3/lease/grant", {"TTL": str(ttl_s)})
+        return int(response_fields["ID"])
 
     async def keep_alive(self, lease: int) -> bool:
         """See :class:`keyvalue.KeyValueClient`."""
-        answer = await self._call("/v3/lease/keepalive", {"ID": str(lease)})
-        return int(answer.get("result", {}).get("TTL", 0)) > 0
+        response_fields = await self._call("/v3/lease/keepalive", {"ID": str(lease)})
+        return int(response_fields.get("result", {}).get("TTL", 0)) > 0
 
     async def revoke_lease(self, lease: int) -> None:
         """See :class:`keyvalue.KeyValueClient`."""
@@ -89,7 +99,7 @@
             "start_revision": str(start_revision),
         }
         request = self._request("/v3/watch", {"create_request": create}, WATCH_IDLE_TIMEOUT_S)
-        with transfer.translated_errors():
+        with http_errors.translated_errors():
             response = await self._pool.handle_async_request(request)
         try:
             yield _watch_revisions(response)
@@ -98,7 +108,7 @@
                 await response.aclose()
 
     async def _call(self, path: str, body: dict) -> dict:
-        with transfer.translated_errors(), trio.fail_after(self.call_timeout_s):
+        with http_errors.translated_errors(), trio.fail_after(self.call_timeout_s):
             request = self._request(path, body, self.call_timeout_s)
             response = await self._pool.handle_async_request(request)
             try:
@@ -107,12 +117,12 @@
                 await response.aclose()
         if response.status != 200:
             raise keyvalue.IndeterminateError(
-                f"{path}: HTTP status {response.status}: {content[:200]!r}"
+                f"{path}: expected HTTP status 200, got {response.status}: {content[:200]!r}"
             )
         try:
             return json.loads(content)
         except ValueError as error:
-            raise keyvalue.IndeterminateError(f"{path}: malformed answer") from error
+            raise keyvalue.IndeterminateError(f"{path}: response is not JSON") from error
 
     def _request(self, path: str, body: dict, timeout_s: float) -> httpcore.Request:
         content = json.dumps(body).encode()
@@ -135,32 +145,34 @@
 
 async def _watch_revisions(response: httpcore.Response) -> collections.abc.AsyncIterator[int]:
     buffer = bytearray()
-    with transfer.translated_errors():
+    with http_errors.translated_errors():
         async for chunk in response.aiter_stream():
             buffer += chunk
             if len(buffer) > WATCH_LINE_LIMIT_BYTES:
-                raise keyvalue.IndeterminateError("a watch message exceeds its limit")
+                raise keyvalue.IndeterminateError(
+                    f"watch message exceeds {WATCH_LINE_LIMIT_BYTES} bytes"
+                )
             *lines, rest = bytes(buffer).split(b"\n")
             buffer = bytearray(rest)
             for line in lines:
                 if line.strip():
-                    yield _watch_revision(line)
-    raise keyvalue.IndeterminateError("the watch ended")
+                    yield _parse_watch_line(line)
+    raise keyvalue.IndeterminateError("the service closed the watch's stream")
 
 
-def _watch_revision(line: bytes) -> int:
+def _parse_watch_line(line: bytes) -> int:
     try:
         result = json.loads(line).get("result", {})
     except ValueError as error:
-        raise keyvalue.IndeterminateError("malformed watch message") from error
+        raise keyvalue.IndeterminateError("watch message is not JSON") from error
     if result.get("canceled"):
         if result.get("compact_revision"):
-            raise keyvalue.CompactedError("the watch's history was compacted")
-        raise keyvalue.IndeterminateError("the watch was cancelled")
-    return _revision(result)
+            raise keyvalue.CompactedError("the history that the watch needs was compacted")
+        raise keyvalue.IndeterminateError("the service cancelled the watch")
+    return _parse_revision(result)
 
 
-def _comparisons(condition: keyvalue.Condition) -> collections.abc.Iterator[dict]:
+def _encode_condition(condition: keyvalue.Condition) -> collections.abc.Iterator[dict]:
     key = _encode(condition.key.encode())
     if condition.mod_revision is not None:
         revision = str(condition.mod_revision)
@@ -170,7 +182,7 @@
         yield {"key": key, "target": "CREATE", "result": "EQUAL", "create_revision": revision}
 
 
-def _operation(write: keyvalue.Write) -> dict:
+def _encode_write(write: keyvalue.Write) -> dict:
     key = _encode(write.key.encode())
     if write.value is None:
         return {"request_delete_range": {"key": key}}
@@ -180,7 +192,7 @@
     return {"request_put": put}
 
 
-def _item(kv: dict) -> keyvalue.Item:
+def _parse_item(kv: dict) -> keyvalue.Item:
     return keyvalue.Item(
         key=base64.b64decode(kv["key"]).decode(),
         value=base64.b64decode(kv.get("value", "")),
@@ -190,8 +202,8 @@
     )
 
 
-def _revision(answer: dict) -> int:
-    return int(answer.get("header", {}).get("revision", 0))
+def _parse_revision(response_fields: dict) -> int:
+    return int(response_fields.get("header", {}).get("revision", 0))
 
 
 def _encode(data: bytes) -> str:
@@ -199,7 +211,7 @@
 
 
 def prefix_range(prefix: str) -> tuple[bytes, bytes]:
-    """Return the first key of a prefix, and the first one after it; all keys for an empty one."""
+    """Return the key range ``[start, end)`` of a prefix; an empty prefix covers all keys."""
     data = prefix.encode()
     if not data:
         return b"\0", b"\0"
--- a/toucanhold/coordination/following.py
+++ b/toucanhold/coordination/following.py
@@ -1,4 +1,4 @@
-"""Following a prefix of the key-value service: a watch wakes, a read tells."""
+"""Follows a prefix of the key-value service: a watch signals changes, a read returns the state."""
 
 import collections.abc
 import logging
@@ -21,8 +21,9 @@
 class PrefixFollower:
     """Calls ``refresh`` whenever something under ``prefix`` may have changed.
 
-    :ivar refresh: reads and takes in the present state; returns the revision read
-    :ivar is_answering: whether the key-value service answered last time
+    :ivar refresh: reads and applies the current state; returns the revision read
+    :ivar rng: jitter of the backoff and of the refresh interval
+    :ivar is_answering: whether the key-value service answered the last call
     """
 
     client: keyvalue.KeyValueClient
@@ -36,7 +37,7 @@
         backoff_s = FIRST_BACKOFF_S
         while True:
             try:
-                await self._follow_once()
+                await self._refresh_and_watch()
                 backoff_s = FIRST_BACKOFF_S
                 continue
             except keyvalue.CompactedError:
@@ -44,23 +45,23 @@
             except keyvalue.KeyValueError as error:
                 if self.is_answering:
                     backoff_s = FIRST_BACKOFF_S
-                self._note(False, str(error))
-            # Jitter keeps all entries from calling at once when the service returns.
+                self._set_answering(False, str(error))
+            # Jitter keeps the entries from calling all at once when the service recovers.
             await trio.sleep(backoff_s * self.rng.uniform(0.5, 1.5))
             backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
 
-    async def _follow_once(self) -> None:
+    async def _refresh_and_watch(self) -> None:
         revision = await self.refresh()
-        self._note(True, "")
-        # A watch whose connection died unnoticed stays silent for ever, and its reader would keep
-        # old facts; hence the read at an interval.
+        self._set_answering(True, "")
+        # A watch whose connection is dead without an error never reports a change, so its reader
+        # would keep stale state; hence a read at an interval.
         with trio.move_on_after(REFRESH_INTERVAL_S * self.rng.uniform(0.8, 1.2)):
             async with self.client.watch(self.prefix, revision + 1) as revisions:
                 async for changed in revisions:
                     if changed > revision:
                         revision = await self.refresh()
 
-    def _note(self, is_answering: bool, reason: str) -> None:
+    def _set_answering(self, is_answering: bool, reason: str) -> None:
         if is_answering != self.is_answering:
             event = events.Event.PLATFORM_BACK if is_answering else events.Event.PLATFORM_LOST
             events.log(LOGGER, event, prefix=self.prefix, reason=reason)
--- a/toucanhold/coordination/keyvalue.py
+++ b/toucanhold/coordination/keyvalue.py
@@ -1,4 +1,4 @@
-"""What the system asks of the platform's key-value service."""
+"""Interface of the platform's key-value service: types, errors and the abstract client."""
 
 import abc
 import collections.abc
@@ -8,28 +8,28 @@
 
 
 class KeyValueError(Exception):
-    """The key-value service did not do what was asked."""
+    """A call to the key-value service failed."""
 
 
 class UnavailableError(KeyValueError):
-    """The call certainly had no effect: it never reached the service."""
+    """The call certainly had no effect: it did not reach the service, or was refused."""
 
 
 class IndeterminateError(KeyValueError):
-    """The call may have taken effect; its answer was lost."""
+    """The call may have taken effect, but no valid response to it arrived."""
 
 
 class CompactedError(KeyValueError):
-    """The history that a watch asked for is gone: read the present state instead."""
+    """The history that a watch needs was compacted; read the current state instead."""
 
 
 @attrs.frozen
 class Item:
     """One stored key.
 
-    :ivar create_revision: revision at which the key came into being
+    :ivar create_revision: revision at which the key was created
     :ivar mod_revision: revision of its last change
-    :ivar lease: identifier of the lease it hangs on, 0 for none
+    :ivar lease: identifier of the lease that the key is attached to, 0 for none
     """
 
     key: str
@@ -49,7 +49,7 @@
 
 @attrs.frozen
 class Condition:
-    """A comparison of one key's revision; 0 stands for a key that does not exist.
+    """Expected revisions of one key; 0 expects that the key does not exist.
 
     :ivar mod_revision: expected revision of the last change, or None
     :ivar create_revision: expected revision of the creation, or None
@@ -62,7 +62,10 @@
 
 @attrs.frozen
 class Write:
-    """A put, or a deletion where ``value`` is None."""
+    """A put, or a deletion where ``value`` is None.
+
+    :ivar lease: identifier of the lease to attach the key to, 0 for none
+    """
 
     key: str
     value: bytes | None
@@ -71,7 +74,11 @@
 
 @attrs.frozen
 class CommitResult:
-    """Whether all conditions held and the writes took effect, and the store's revision."""
+    """Result of a commit.
+
+    :ivar succeeded: whether all conditions held and the writes took effect
+    :ivar revision: the store's revision after the commit
+    """
 
     succeeded: bool
     revision: int
@@ -80,12 +87,13 @@
 class KeyValueClient(abc.ABC):
     """Compare-and-swap, leases and watches of the platform's key-value service.
 
-    Each method raises :class:`UnavailableError` or :class:`IndeterminateError`.
+    :raises UnavailableError: from each method, when the call certainly had no effect
+    :raises IndeterminateError: from each method, when the call may have taken effect
     """
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Release connections."""
+        """Close the connections."""
 
     @abc.abstractmethod
     async def read(self, prefix: str, min_mod_revision: int = 0) -> RangeResult:
@@ -101,19 +109,19 @@
         conditions: collections.abc.Sequence[Condition],
         writes: collections.abc.Sequence[Write],
     ) -> CommitResult:
-        """Do all ``writes`` in one revision if all ``conditions`` hold, else none."""
+        """Apply all ``writes`` in one revision if all ``conditions`` hold, otherwise none."""
 
     @abc.abstractmethod
     async def grant_lease(self, ttl_s: int) -> int:
-        """Return the identifier of a new lease."""
+        """Return the identifier of a new lease that expires ``ttl_s`` seconds after a renewal."""
 
     @abc.abstractmethod
     async def keep_alive(self, lease: int) -> bool:
-        """Renew a lease; false where it has lapsed."""
+        """Renew a lease; return False if it has expired."""
 
     @abc.abstractmethod
     async def revoke_lease(self, lease: int) -> None:
-        """End a lease and delete the keys on it."""
+        """End a lease and delete the keys attached to it."""
 
     @abc.abstractmethod
     def watch(
@@ -121,8 +129,8 @@
     ) -> contextlib.AbstractAsyncContextManager[collections.abc.AsyncIterator[int]]:
         """Yield the store's revision after each change under ``prefix``.
 
-        A watch only wakes its reader, who then reads the present state: so late, doubled or lost
-        events cannot bring back an old value.
+        A watch only signals that something changed; its reader then reads the current state. So
+        late, duplicate or lost events cannot restore an old value.
 
         :raises CompactedError: when ``start_revision`` is no longer kept
         """
--- a/toucanhold/coordination/lease.py
+++ b/toucanhold/coordination/lease.py
@@ -1,4 +1,4 @@
-"""A key held under a lease, with its end on the holder's own monotonic clock."""
+"""Holds a key under a lease, whose expiry is computed on the holder's monotonic clock."""
 
 import collections.abc
 import logging
@@ -15,14 +15,15 @@
 
 @attrs.define(eq=False)
 class LeasedKey:
-    """Tries to hold ``key``; at most one client holds it at a time.
+    """Acquires and renews ``key``; at most one client holds it at a time.
 
-    :ivar value: what the holder writes
-    :ivar ttl_s: time after which the service lets an unrenewed key go
+    :ivar value: value that the holder writes
+    :ivar ttl_s: time after which the service deletes a key whose lease was not renewed
     :ivar is_acquisition_skipped: returns, without a call to the service, whether not to try to
         acquire the key, as when another client is known to hold it; False where that is unknown
     :ivar is_contended: whether other clients try to hold the key as well
-    :ivar fencing: the key's create revision while held: it grows with each holder
+    :ivar fencing: fencing token: the key's create revision while held, which grows with each
+        holder; 0 while not held
     """
 
     client: keyvalue.KeyValueClient
@@ -36,22 +37,22 @@
     is_contended: bool = attrs.field(default=True, kw_only=True)
     fencing: int = 0
     _lease: int = attrs.field(default=0, init=False)
-    _renewed: clock.Instant = attrs.field(default=clock.LONG_AGO, init=False)
-    _released: bool = attrs.field(default=False, init=False)
+    _renewed_at: clock.Instant = attrs.field(default=clock.LONG_AGO, init=False)
+    _is_released: bool = attrs.field(default=False, init=False)
 
     def is_held(self) -> bool:
-        """Tell whether the lease certainly still runs."""
-        # The time counts from before the renewal was sent, so the holder stops believing before
-        # the service lets the key go, even when the answer took long or the process was paused.
+        """Return whether the lease has certainly not expired."""
+        # The time counts from before the renewal was sent, so the lease expires for the holder
+        # before it does at the service, even if the response was slow or the process was paused.
         return self.remaining_s() > 0
 
     def remaining_s(self) -> float:
-        """Return for how long the lease certainly still runs; negative when it may have ended."""
-        return self.ttl_s - self._renewed.age_s() if self.fencing else float("-inf")
+        """Return the seconds until the lease may expire; negative if it may have expired."""
+        return self.ttl_s - self._renewed_at.age_s() if self.fencing else float("-inf")
 
     async def run(self) -> None:
         """Acquire, renew and acquire again until cancelled or released."""
-        while not self._released:
+        while not self._is_released:
             try:
                 if self.is_held():
                     await self._renew()
@@ -59,22 +60,22 @@
                     await self._acquire()
             except keyvalue.KeyValueError as error:
                 LOGGER.debug("lease on %s: %s", self.key, error)
-            if self._released:
-                # A key that was acquired while it was being released would stand until its time
-                # runs out: callers would be sent to an entry that stops, and no planner elected.
+            if self._is_released:
+                # A key that was acquired during the release would remain until its lease expires:
+                # callers would be sent to a stopping entry, and no planner would be elected.
                 await self.release()
                 return
             await trio.sleep(self.ttl_s / 4 * self.rng.uniform(0.8, 1.2))
 
     async def release(self) -> None:
-        """Let the key go for good, best effort."""
-        self._released = True
+        """Revoke the lease (best effort) and stop acquiring the key."""
+        self._is_released = True
         lease, self._lease, self.fencing = self._lease, 0, 0
         if lease:
             try:
                 await self.client.revoke_lease(lease)
             except keyvalue.KeyValueError as error:
-                LOGGER.debug("lease on %s not revoked: %s", self.key, error)
+                LOGGER.debug("lease on %s: cannot revoke: %s", self.key, error)
 
     async def _acquire(self) -> None:
         self.fencing = 0
@@ -87,26 +88,26 @@
         try:
             result = await self.client.commit([absent], [write])
         except keyvalue.IndeterminateError:
-            LOGGER.debug("lease on %s: the answer was lost; reading back", self.key)
+            LOGGER.debug("lease on %s: no response to the commit; reading the key", self.key)
         else:
             if result.succeeded:
                 await self._renew(result.revision)
                 return
         item = await self.client.read_key(self.key)
-        # The answer of the commit is not needed: a key on this client's own lease is held.
+        # The commit's response is not needed: a key attached to this client's lease is held.
         if item is not None and item.lease == self._lease:
             await self._renew(item.create_revision)
 
     async def _is_held_by_another(self) -> bool:
-        # Most of the time another client holds the key. Asking costs one call; trying to take it
-        # would cost three each time, by every entry, for as long as the system runs.
+        # Usually another client holds the key. A read costs one call; an attempt to acquire the key
+        # would cost three calls each time, for every entry, for as long as the system runs.
         item = await self.client.read_key(self.key)
         return item is not None and item.lease != self._lease
 
     async def _renew(self, fencing: int | None = None) -> None:
         sent = clock.read()
         if await self.client.keep_alive(self._lease):
-            self._renewed = sent
+            self._renewed_at = sent
             self.fencing = fencing or self.fencing
         else:
             self._lease, self.fencing = 0, 0
--- a/toucanhold/coordination/mirror.py
+++ b/toucanhold/coordination/mirror.py
@@ -1,4 +1,4 @@
-"""A copy of the key-value service's items, and what keeps it up to date."""
+"""In-memory mirror of the key-value service's items, and the changes that are applied to it."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from toucanhold import clock, events, waking
 from toucanhold.coordination import keyvalue
 
-# Changes that are kept for entries that follow this copy; some ten batches come in a second at
-# most, and one that was away for longer than half a minute reads everything anew.
+# Batches of changes kept for entries that follow this mirror. At most about ten batches arrive per
+# second; a follower that was disconnected for longer than half a minute gets a snapshot.
 HISTORY_BATCHES = 300
 
 LOGGER = logging.getLogger(__name__)
@@ -35,8 +35,10 @@
 class Changes:
     """All that changed between two revisions.
 
-    :ivar after: the revision from which this tells everything
-    :ivar revision: the revision up to which it does
+    :ivar after: revision before the first change, exclusive
+    :ivar revision: revision up to which changes are included
+    :ivar items: latest state of each key that was written
+    :ivar deleted: keys that were deleted and do not exist at ``revision``
     """
 
     after: int
@@ -51,32 +53,33 @@
 
 
 @attrs.frozen
-class Standing:
-    """How far a copy can be relied on.
+class SyncStatus:
+    """How current a mirror is, and whether the service answers.
 
-    :ivar confirmed: when it certainly held all that the service had
+    :ivar confirmed_at: when the mirror last certainly held all items of the service
     :ivar is_answering: whether the last call to the service was answered, here or at the entry
-        that this copy follows
-    :ivar last_failure: when a call last failed
+        that this mirror follows
+    :ivar last_failure_at: when a call last failed
     """
 
-    confirmed: clock.Instant = clock.LONG_AGO
+    confirmed_at: clock.Instant = clock.LONG_AGO
     is_answering: bool = False
-    last_failure: clock.Instant = clock.LONG_AGO
+    last_failure_at: clock.Instant = clock.LONG_AGO
 
 
 @attrs.define(eq=False)
 class Mirror:
-    """All items of the service, and the listeners to its changes.
+    """All items of the service, and listeners that are called after changes.
 
     :ivar items: key to item
-    :ivar revision: the revision up to which everything is known
-    :ivar changed: wakes those that wait for news of any kind
+    :ivar revision: revision up to which all changes are applied
+    :ivar sync_status: how current this mirror is
+    :ivar changed: wakes its waiters after each change of the items or of ``is_answering``
     """
 
     items: dict[str, keyvalue.Item] = attrs.field(factory=dict, init=False)
     revision: int = attrs.field(default=0, init=False)
-    standing: Standing = attrs.field(factory=Standing, init=False)
+    sync_status: SyncStatus = attrs.field(factory=SyncStatus, init=False)
     changed: waking.Signal = attrs.field(factory=waking.Signal, init=False)
     _history: collections.deque[Changes] = attrs.field(
         factory=lambda: collections.deque(maxlen=HISTORY_BATCHES), init=False
@@ -86,14 +89,14 @@
     @property
     def is_answering(self) -> bool:
         """Whether the service's last call was answered."""
-        return self.standing.is_answering
+        return self.sync_status.is_answering
 
     @property
     def since_failure_s(self) -> float:
-        """Time since the last call that failed, in seconds."""
-        return self.standing.last_failure.age_s()
+        """Seconds since the last failed call."""
+        return self.sync_status.last_failure_at.age_s()
 
-    def under(self, prefix: str) -> list[keyvalue.Item]:
+    def items_under(self, prefix: str) -> list[keyvalue.Item]:
         """Return the items whose keys begin with ``prefix``."""
         return [item for key, item in self.items.items() if key.startswith(prefix)]
 
@@ -102,7 +105,7 @@
         self._listeners.append((prefix, listener))
 
     def changes_since(self, revision: int) -> Changes | None:
-        """Return what changed after a revision, or None where that is no longer known."""
+        """Return the changes after a revision, or None where the history does not reach back."""
         if revision >= self.revision:
             return Changes(revision, revision)
         if not self._history or self._history[0].after > revision:
@@ -121,60 +124,62 @@
         return Changes(revision, self.revision, tuple(items.values()), tuple(deleted.values()))
 
     def replace(self, result: keyvalue.RangeResult) -> None:
-        """Take in all items as of one revision; older ones than this copy's are passed over."""
+        """Replace all items by those of one revision; ignored if older than the mirror's."""
         if result.revision < self.revision:
             return
-        present = {item.key: item for item in result.items}
-        gone = self.items.keys() - present.keys()
-        changed = {key for key, item in present.items() if self.items.get(key) != item}
-        self.items = present
+        new_items = {item.key: item for item in result.items}
+        removed = self.items.keys() - new_items.keys()
+        changed = {key for key, item in new_items.items() if self.items.get(key) != item}
+        self.items = new_items
         self.revision = result.revision
         self._history.clear()
-        self._notify(gone | changed)
+        self._notify(removed | changed)
 
     def apply(self, changes: Changes) -> None:
-        """Take in changes that follow on this copy's revision, or overlap it."""
+        """Apply changes; ignored if outdated, or after a gap in the revisions."""
         if changes.after > self.revision or changes.revision <= self.revision:
             return
-        touched = {deletion.key for deletion in changes.deleted if self._delete(deletion)}
-        touched |= {item.key for item in changes.items if self._put(item)}
+        changed_keys = {deletion.key for deletion in changes.deleted if self._delete(deletion)}
+        changed_keys |= {item.key for item in changes.items if self._put(item)}
         self.revision = changes.revision
         self._history.append(changes)
-        self._notify(touched)
+        self._notify(changed_keys)
 
-    def note_standing(self, standing: Standing, source: str, reason: str = "") -> None:
-        """Take note of how far this copy can be relied on.
+    def update_sync_status(self, sync_status: SyncStatus, source: str, reason: str = "") -> None:
+        """Set the sync status, and log when the service stops or starts to answer.
 
-        :param source: where it comes from
-        :param reason: why the service does not answer
+        :param source: address or name of where the status comes from, for the log
+        :param reason: why the service does not answer, for the log
         """
-        was_answering = self.standing.is_answering
-        self.standing = standing
-        if standing.is_answering == was_answering:
+        was_answering = self.sync_status.is_answering
+        self.sync_status = sync_status
+        if sync_status.is_answering == was_answering:
             return
-        event = events.Event.PLATFORM_BACK if standing.is_answering else events.Event.PLATFORM_LOST
+        event = (
+            events.Event.PLATFORM_BACK if sync_status.is_answering else events.Event.PLATFORM_LOST
+        )
         events.log(LOGGER, event, source=source, reason=reason, revision=self.revision)
         self.changed.wake()
 
     def _put(self, item: keyvalue.Item) -> bool:
-        # Pages of a first read may hold later changes than the revision that they begin at; the
-        # changes that follow tell those once more, and older ones before them.
-        known = self.items.get(item.key)
-        if known is not None and known.mod_revision >= item.mod_revision:
+        # Later pages of a full read may include changes after the read's revision. The changes that
+        # follow repeat these, and contain older ones of the same keys.
+        current = self.items.get(item.key)
+        if current is not None and current.mod_revision >= item.mod_revision:
             return False
         self.items[item.key] = item
         return True
 
     def _delete(self, deletion: Deletion) -> bool:
-        known = self.items.get(deletion.key)
-        if known is None or known.mod_revision > deletion.revision:
+        current = self.items.get(deletion.key)
+        if current is None or current.mod_revision > deletion.revision:
             return False
         del self.items[deletion.key]
         return True
 
     def _notify(self, keys: set[str]) -> None:
         for prefix, listener in self._listeners:
-            concerned = frozenset(key for key in keys if key.startswith(prefix))
-            if concerned:
-                listener(concerned)
+            matching_keys = frozenset(key for key in keys if key.startswith(prefix))
+            if matching_keys:
+                listener(matching_keys)
         self.changed.wake()
--- a/toucanhold/coordination/vms.py
+++ b/toucanhold/coordination/vms.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving VMs."""
+"""Reads the platform's list of live and leaving VMs, which lags behind the VMs' state."""
 
 import abc
 import json
@@ -11,22 +11,22 @@
 
 
 class VmListError(Exception):
-    """The list could not be read."""
+    """The VM list could not be read."""
 
 
 class VmList(abc.ABC):
-    """Tells which VMs the platform is about to take away."""
+    """Lists the VMs that the platform is about to remove."""
 
     @abc.abstractmethod
     async def read_leaving(self) -> frozenset[str]:
         """Return the names of leaving VMs.
 
-        :raises VmListError: when the list does not answer
+        :raises VmListError: when the list cannot be read or is malformed
         """
 
 
 class EmptyVmList(VmList):
-    """For platforms without a list."""
+    """Empty list, for platforms without a VM list."""
 
     async def read_leaving(self) -> frozenset[str]:
         """See :class:`VmList`."""
@@ -35,7 +35,7 @@
 
 @attrs.define(eq=False)
 class HttpVmList(VmList):
-    """Reads the list over HTTP.
+    """Reads the VM list over HTTP.
 
     :ivar url: answers ``{"vms": [{"vm": NAME, "state": "live" or "leaving"}]}``
     """
--- a/toucanhold/coordination/watching.py
+++ b/toucanhold/coordination/watching.py
@@ -1,4 +1,4 @@
-"""Following the key-value service by one watch."""
+"""Keeps a mirror up to date with one watch on the key-value service."""
 
 from __future__ import annotations
 
@@ -13,103 +13,105 @@
 from toucanhold import clock, events
 from toucanhold.coordination import keyvalue, mirror
 
-# A connection that went silent is noticed this much later than the watch should have returned;
-# those that follow this entry hear of servers that leave only after that, and are bound to stop
-# sending to those within two seconds. Each return is paid for.
+# Longest wait of one watch call. A dead connection is detected only after this wait, and entries
+# that follow this one must stop sending to leaving servers within two seconds. A shorter wait costs
+# more: the platform charges for each call.
 WATCH_WAIT_S = 1.0
 FIRST_BACKOFF_S = 0.05
-# An outage ends unannounced; the copy is behind by at most this after it.
+# The end of an outage is not announced, so the mirror may lag behind by up to this after it.
 MAX_BACKOFF_S = 0.4
-# An entry that others will tell of the end asks less often: refused calls are paid for as well.
-PATIENT_BACKOFF_S = 2.0
-SOURCE_NAME = "the key-value service"
+# An entry that learns of the end of an outage from others calls less often, because the platform
+# charges for refused calls as well.
+MAX_BACKOFF_WITH_SOURCES_S = 2.0
+SERVICE_NAME = "the key-value service"
 
 LOGGER = logging.getLogger(__name__)
 
 
 class ChangeSource(abc.ABC):
-    """Reads everything once, then what changes."""
+    """Reads all items once, and then their changes."""
 
     @abc.abstractmethod
     async def read_all(self, may_be_stale: bool) -> keyvalue.RangeResult:
-        """Return all items, and a revision from which to follow them.
+        """Return all items, and the revision from which to read their changes.
 
-        :param may_be_stale: whether what was true seconds ago will do; such a read costs less
+        :param may_be_stale: whether a state of some seconds ago suffices; such a read costs less
         :raises keyvalue.KeyValueError: when the service does not answer
         """
 
     @abc.abstractmethod
     async def read_changes(self, after_revision: int, wait_s: float) -> mirror.Changes:
-        """Return the changes after a revision, waiting for the first of them.
+        """Return the changes after a revision, waiting up to ``wait_s`` for the first of them.
 
-        :raises keyvalue.CompactedError: when that history is no longer kept
+        :raises keyvalue.CompactedError: when the history after the revision was compacted
         :raises keyvalue.KeyValueError: when the service does not answer
         """
 
 
 @attrs.define(eq=False)
 class ServiceWatch:
-    """Keeps a copy up to date by calls to the service.
+    """Keeps a mirror up to date by calls to the service.
 
+    :ivar source: reads from the service
+    :ivar batch_delay_s: returns the pause after a change before the next watch; changes in it come
+        in one batch, because the platform charges for each watch call
     :ivar max_backoff_s: longest pause between calls while the service does not answer
-    :ivar gather_s: returns the pause before the next watch, in which further changes gather: each
-        return of a watch is a call that the platform counts
     """
 
     source: ChangeSource
-    copy: mirror.Mirror
-    gather_s: collections.abc.Callable[[], float]
+    mirror: mirror.Mirror
+    batch_delay_s: collections.abc.Callable[[], float]
     rng: random.Random
     max_backoff_s: float = attrs.field(default=MAX_BACKOFF_S, init=False)
 
     async def run(self) -> None:
-        """Follow until cancelled; the copy's revision tells where to go on."""
+        """Watch from the mirror's revision until cancelled; read all items first where it is 0."""
         backoff_s = FIRST_BACKOFF_S
-        is_stale = not self.copy.revision
+        is_full_read_needed = not self.mirror.revision
         while True:
             try:
-                await self._advance(is_stale)
-                is_stale = False
+                await self._sync_once(is_full_read_needed)
+                is_full_read_needed = False
                 backoff_s = FIRST_BACKOFF_S
                 continue
             except keyvalue.CompactedError:
-                is_stale = True
-                events.log(LOGGER, events.Event.HISTORY_LOST, revision=self.copy.revision)
+                is_full_read_needed = True
+                events.log(LOGGER, events.Event.HISTORY_LOST, revision=self.mirror.revision)
                 continue
             except keyvalue.KeyValueError as error:
-                failed = attrs.evolve(
-                    self.copy.standing, is_answering=False, last_failure=clock.read()
+                failed_status = attrs.evolve(
+                    self.mirror.sync_status, is_answering=False, last_failure_at=clock.read()
                 )
-                self.copy.note_standing(failed, SOURCE_NAME, str(error))
-            # Jitter keeps all entries from calling at once when the service returns.
+                self.mirror.update_sync_status(failed_status, SERVICE_NAME, str(error))
+            # Jitter keeps the entries from calling all at once when the service recovers.
             await trio.sleep(backoff_s * self.rng.uniform(0.5, 1.5))
             backoff_s = min(self.max_backoff_s, backoff_s * 2)
 
-    async def _advance(self, is_stale: bool) -> None:
-        if is_stale:
-            # What an old first read lacks comes with the first watch. After a loss of history an
-            # old read could begin where that loss lies, and again each time.
-            may_be_stale = not self.copy.revision
+    async def _sync_once(self, is_full_read_needed: bool) -> None:
+        if is_full_read_needed:
+            # The first watch returns what a stale first read lacks. After a compaction, however, a
+            # stale read could return a revision whose history is compacted, and again each time.
+            may_be_stale = not self.mirror.revision
             result = await self.source.read_all(may_be_stale)
-            self._note_answer(is_newest=not may_be_stale)
-            self.copy.replace(result)
-            # An entry that finds one to follow in what it read is cancelled here, before it pays
-            # for a watch.
-            await trio.sleep(self.gather_s())
+            self._record_answer(is_current=not may_be_stale)
+            self.mirror.replace(result)
+            # If the items read name an entry to follow, this task is cancelled here, before it
+            # makes a watch call, for which the platform charges.
+            await trio.sleep(self.batch_delay_s())
             return
-        changes = await self.source.read_changes(self.copy.revision, WATCH_WAIT_S)
-        self._note_answer(is_newest=True)
-        self.copy.apply(changes)
+        changes = await self.source.read_changes(self.mirror.revision, WATCH_WAIT_S)
+        self._record_answer(is_current=True)
+        self.mirror.apply(changes)
         if not changes.is_empty:
-            await trio.sleep(self.gather_s())
-
-    def _note_answer(self, is_newest: bool) -> None:
-        standing = attrs.evolve(self.copy.standing, is_answering=True)
-        if not self.copy.is_answering:
-            # The outage may have ended only now: to count from the last call that failed would give
-            # registrations that lapsed in it too little time to return, and none at all where the
-            # calls were seconds apart.
-            standing = attrs.evolve(standing, last_failure=clock.read())
-        if is_newest:
-            standing = attrs.evolve(standing, confirmed=clock.read())
-        self.copy.note_standing(standing, SOURCE_NAME)
+            await trio.sleep(self.batch_delay_s())
+
+    def _record_answer(self, is_current: bool) -> None:
+        sync_status = attrs.evolve(self.mirror.sync_status, is_answering=True)
+        if not self.mirror.is_answering:
+            # The outage may have ended only now. Counting from the last failed call would leave too
+            # little time for registrations that expired in the outage to be renewed, and none at
+            # all where the calls were seconds apart.
+            sync_status = attrs.evolve(sync_status, last_failure_at=clock.read())
+        if is_current:
+            sync_status = attrs.evolve(sync_status, confirmed_at=clock.read())
+        self.mirror.update_sync_status(sync_status, SERVICE_NAME)
--- a/toucanhold/platform/entry.py
+++ b/toucanhold/platform/entry.py
@@ -1,4 +1,4 @@
-"""The entry on the users' platform: its parts, and the order of starting and stopping them."""
+"""Builds, starts and stops the components of an entry on the users' platform."""
 
 from __future__ import annotations
 
@@ -43,13 +43,13 @@
 from toucanhold.replicas import plan, planner, records
 from toucanhold.routes import table
 
-# Changes of some servers at once come within this time; each return of a watch is paid for.
-GATHER_S = 0.15
-# The planner waits for reports of servers that join, which delay the group by this much.
-PLANNER_GATHER_S = 0.05
+# Servers that change together do so within this time; each return of a watch is a paid call.
+BATCH_DELAY_S = 0.15
+# The planner waits for reports of joining servers, so this delay adds to the start of a group.
+PLANNER_BATCH_DELAY_S = 0.05
 METRICS_PORT = 9464
-# Callers keep an address for up to three times the directory's word, and then some.
-LATE_CALLERS_S = 3.2 * directory.ADDRESS_TTL_S
+# Callers cache an address for up to three times its TTL; the rest is a margin.
+CALLER_DRAIN_S = 3.2 * directory.ADDRESS_TTL_S
 IDLE_TIMEOUT_S = 75.0
 
 LOGGER = logging.getLogger(__name__)
@@ -59,24 +59,26 @@
 class PlatformEntry(application.Application):
     """Builds an entry's components from its settings and owns them.
 
-    :ivar reload: reads the settings again
+    :ivar settings: settings in force; a reload replaces their bounds only
+    :ivar reload: reads the settings file again
+    :ivar closed_zones: availability zones that the operators have evacuated
     """
 
     settings: settings.PlatformSettings
     reload: collections.abc.Callable[[], settings.PlatformSettings]
-    _stop_serving: trio.Event = attrs.field(factory=trio.Event, init=False)
-    _servers_left: int = attrs.field(default=0, init=False)
-    _all_served: trio.Event = attrs.field(factory=trio.Event, init=False)
+    _stop_http_servers: trio.Event = attrs.field(factory=trio.Event, init=False)
+    _running_http_servers: int = attrs.field(default=0, init=False)
+    _all_http_servers_stopped: trio.Event = attrs.field(factory=trio.Event, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Build the components; none does anything before :meth:`start`."""
-        own = self.settings
+        """Build the components; none of them runs before :meth:`start`."""
+        entry_settings = self.settings
         self.rng = random.Random()
-        self.metrics = metrics.Metrics(own.entry)
-        self.store = store.StoreClient(own.store_address)
+        self.metrics = metrics.Metrics(entry_settings.entry)
+        self.store = store.StoreClient(entry_settings.store_address)
         self.mirror = mirror.Mirror()
         self.registry = registry.Registry(self.mirror, registrations.PREFIX, registrations.decode)
-        self.board = records.GroupBoard(self.mirror)
+        self.group_records = records.GroupBoard(self.mirror)
         self.routes = table.RouteTableHolder()
         self.closed_zones: set[str] = set()
         self.mirror.add_listener(configuration.PREFIX, self._apply_operator_settings)
@@ -89,7 +91,7 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """See :class:`application.Application`."""
-        own = self.settings
+        entry_settings = self.settings
         await nursery.start(self.publisher.run)
         for run in (
             self.follower.run,
@@ -104,20 +106,20 @@
             self._reload_on_signal,
         ):
             nursery.start_soon(run)
-        callers = front.FrontApp(self.gateway, self.metrics, lambda: self.entries.is_stopping)
-        await self._serve(nursery, callers, own.callers_address)
-        asked = directory.DirectoryApp(self.entries, self.rng)
-        await self._serve(nursery, asked, own.directory_address)
-        readiness = directory.ReadinessApp(self.is_ready, self.metrics)
-        await self._serve(nursery, readiness, own.readiness_address)
-        host = own.callers_address.rpartition(":")[0]
-        await self._serve(nursery, readiness, f"{host}:{METRICS_PORT}")
+        front_app = front.FrontApp(self.gateway, self.metrics, lambda: self.entries.is_stopping)
+        await self._serve(nursery, front_app, entry_settings.callers_address)
+        directory_app = directory.DirectoryApp(self.entries, self.rng)
+        await self._serve(nursery, directory_app, entry_settings.directory_address)
+        readiness_app = directory.ReadinessApp(self.is_ready, self.metrics)
+        await self._serve(nursery, readiness_app, entry_settings.readiness_address)
+        host = entry_settings.callers_address.rpartition(":")[0]
+        await self._serve(nursery, readiness_app, f"{host}:{METRICS_PORT}")
         events.log(
             LOGGER,
             events.Event.ENTRY_STARTED,
-            entry=own.entry,
+            entry=entry_settings.entry,
             boot=self.entries.own.boot,
-            callers=own.callers_address,
+            callers=entry_settings.callers_address,
         )
 
     async def stop(self) -> None:
@@ -126,10 +128,10 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.planner_lease.release)
             nursery.start_soon(self.entries.leave)
-            # Callers keep old answers of the directory and go on coming for that long.
-            nursery.start_soon(trio.sleep, LATE_CALLERS_S)
-        self._stop_serving.set()
-        await self._all_served.wait()
+            # Callers cache the directory's answers and keep connecting for that long.
+            nursery.start_soon(trio.sleep, CALLER_DRAIN_S)
+        self._stop_http_servers.set()
+        await self._all_http_servers_stopped.wait()
 
     async def clean_up(self) -> None:
         """See :class:`application.Application`."""
@@ -138,24 +140,24 @@
         events.log(LOGGER, events.Event.ENTRY_STOPPED, entry=self.settings.entry)
 
     def is_ready(self) -> bool:
-        """Tell whether new callers may come."""
+        """Return whether this entry accepts new callers: it has routes and is not stopping."""
         return not self.entries.is_stopping and self.routes.table is not None
 
     def _own_entry(self) -> entries.Entry:
-        own = self.settings
+        entry_settings = self.settings
         return entries.Entry(
-            own.entry,
-            own.zone,
-            own.region,
-            own.callers_address,
-            own.exchange_address,
+            entry_settings.entry,
+            entry_settings.zone,
+            entry_settings.region,
+            entry_settings.callers_address,
+            entry_settings.exchange_address,
             uuid.uuid4().hex[:12],
-            own.cores,
+            entry_settings.cores,
         )
 
     def _build_relay(self) -> None:
         peers = transport.TcpTransport()
-        watch = watching.ServiceWatch(self.store, self.mirror, self._gather_s, self.rng)
+        watch = watching.ServiceWatch(self.store, self.mirror, self._batch_delay_s, self.rng)
         self.hierarchy = hierarchy.Hierarchy(self.entries, self._planner_name)
         self.publisher = publishing.Publisher(self.mirror, self.entries.own.exchange_address, peers)
         self.follower = following.Follower(
@@ -166,9 +168,9 @@
         item = self.mirror.items.get(plan.PLANNER_KEY)
         return item.value.decode(errors="replace") if item is not None else ""
 
-    def _is_planner_wanted(self) -> bool:
-        # Where all entries tried, each change of planner would cost as many calls as there are
-        # entries. Those that follow others learn of it late, too.
+    def _is_planner_candidate(self) -> bool:
+        # If every entry tried, each change of planner would cost as many calls as there are
+        # entries. Entries that follow others would also learn of the free lease later.
         return self.follower.is_watching and plan.PLANNER_KEY not in self.mirror.items
 
     def _build_planner(self) -> None:
@@ -178,13 +180,13 @@
             self.settings.entry.encode(),
             plan.PLANNER_LEASE_S,
             self.rng,
-            is_acquisition_skipped=lambda: not self._is_planner_wanted(),
+            is_acquisition_skipped=lambda: not self._is_planner_candidate(),
         )
         self.planner = planner.Planner(
             self.mirror,
             self.planner_lease,
-            plan.Plan(self.store, self.mirror, self.planner_lease, self.board),
-            self.board,
+            plan.Plan(self.store, self.mirror, self.planner_lease, self.group_records),
+            self.group_records,
             self.registry,
             self.routes,
             self.servers,
@@ -198,16 +200,16 @@
         self.loads = load.LoadBoard()
         self.crashes = crashes.CrashMemory()
         self.exchange = exchange.Exchange(
-            self.entries, self.loads, self.crashes, self._on_silent_elsewhere, self.rng
+            self.entries, self.loads, self.crashes, self._on_silence_report, self.rng
         )
-        self.silence = silence.SilenceWatch(self.health, self._note_silent)
-        self.cold = budget.ColdBudget(bounds.cold_overage, bounds.cold_slack, self.entries)
+        self.silence = silence.SilenceWatch(self.health, self._on_silent_server)
+        self.cold_budget = budget.ColdBudget(bounds.cold_overage, bounds.cold_slack, self.entries)
         self.targets = targets.Targets(
             self.registry,
-            self.board,
+            self.group_records,
             self.loads,
             self.health,
-            self.cold,
+            self.cold_budget,
             self.closed_zones,
             self.settings.zone,
             self.rng,
@@ -216,7 +218,7 @@
             self.routes,
             self.servers,
             admission.Admission(self.targets),
-            budget.RetryBudget(_retry_bound(bounds), self._share),
+            budget.RetryBudget(_retry_bound(bounds), self._traffic_share),
             self.health,
             self.crashes,
             self.silence,
@@ -230,39 +232,39 @@
 
     def _reload(self) -> None:
         try:
-            found = self.reload()
+            new_settings = self.reload()
         except settings.SettingsError as error:
             events.log(LOGGER, events.Event.SETTINGS_REFUSED, reason=str(error))
             return
-        # Addresses hold for the life of a process; the bounds may change under it.
-        self.settings = attrs.evolve(self.settings, bounds=found.bounds)
-        self._put_bounds_in_force(found.bounds)
-        events.log(LOGGER, events.Event.SETTINGS_RELOADED, bounds=attrs.asdict(found.bounds))
+        # Addresses are fixed for the life of the process; only the bounds can be reloaded.
+        self.settings = attrs.evolve(self.settings, bounds=new_settings.bounds)
+        self._apply_bounds(new_settings.bounds)
+        events.log(LOGGER, events.Event.SETTINGS_RELOADED, bounds=attrs.asdict(new_settings.bounds))
 
-    def _put_bounds_in_force(self, bounds: settings.Bounds) -> None:
+    def _apply_bounds(self, bounds: settings.Bounds) -> None:
         self.gateway.retries.bound = _retry_bound(bounds)
-        self.cold.overage, self.cold.slack = bounds.cold_overage, bounds.cold_slack
+        self.cold_budget.overage, self.cold_budget.slack = bounds.cold_overage, bounds.cold_slack
         self.planner.stall_s = bounds.stall_s
 
-    def _note_silent(self, server_id: str) -> None:
+    def _on_silent_server(self, server_id: str) -> None:
         self.exchange.note_silent(server_id)
         self.planner.suspect(server_id)
 
-    def _share(self) -> float:
+    def _traffic_share(self) -> float:
         return sharing.share(self.entries.own, self.entries.others())
 
-    def _on_silent_elsewhere(self, server_id: str, entry_name: str) -> None:
+    def _on_silence_report(self, server_id: str, entry_name: str) -> None:
         if self.silence.confirm(server_id, entry_name):
             self.planner.suspect(server_id)
 
-    def _gather_s(self) -> float:
-        return PLANNER_GATHER_S if self.planner.may_act() else GATHER_S
+    def _batch_delay_s(self) -> float:
+        return PLANNER_BATCH_DELAY_S if self.planner.may_act() else BATCH_DELAY_S
 
     def _apply_operator_settings(self, keys: frozenset[str]) -> None:
         if configuration.CONFIGURATION_KEY in keys:
             self._apply_configuration()
         prefix = configuration.EVACUATE_PREFIX
-        closed = {item.key.removeprefix(prefix) for item in self.mirror.under(prefix)}
+        closed = {item.key.removeprefix(prefix) for item in self.mirror.items_under(prefix)}
         for zone in closed - self.closed_zones:
             events.log(
                 LOGGER,
@@ -300,19 +302,19 @@
                 events.Event.ROUTES_IN_FORCE,
                 version=routes.version,
                 revision=item.mod_revision,
-                routes=sum(len(each) for each in routes.routes.values()),
+                routes=sum(len(prefixes) for prefixes in routes.routes.values()),
             )
 
     async def _serve(self, nursery: trio.Nursery, app, address: str) -> None:
-        self._servers_left += 1
+        self._running_http_servers += 1
         await nursery.start(self._serve_until_stop, app, address)
 
     async def _serve_until_stop(self, app, address: str, *, task_status) -> None:
         server = serving.HypercornServer(IDLE_TIMEOUT_S)
-        await server.serve(app, address, self._stop_serving, task_status=task_status)
-        self._servers_left -= 1
-        if not self._servers_left:
-            self._all_served.set()
+        await server.serve(app, address, self._stop_http_servers, task_status=task_status)
+        self._running_http_servers -= 1
+        if not self._running_http_servers:
+            self._all_http_servers_stopped.set()
 
 
 def _retry_bound(bounds: settings.Bounds) -> budget.RetryBound:
--- a/toucanhold/platform/servers.py
+++ b/toucanhold/platform/servers.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's backend servers: requests of callers, reports and orders."""
+"""Sends callers' requests, report queries and orders to the platform's backend servers."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from toucanhold.registry import servers
 from toucanhold.replicas import orders
 
-# Between zones a connection takes some milliseconds; the first lost packet is sent again after
-# about a second, in which another server has long answered.
+# A connection between zones takes some milliseconds. A lost first packet is retransmitted only
+# after about a second, by which time another server has answered.
 CONNECT_TIMEOUT_S = 0.3
-# Orders and reports are answered in milliseconds.
+# Servers answer orders and report queries within milliseconds.
 CONTROL_TIMEOUT_S = 0.4
 READ_BYTES = 64 * 1024
 REPORT_LIMIT_BYTES = 1024 * 1024
@@ -34,11 +34,11 @@
 
 @attrs.define(eq=False)
 class PlatformServerClient(calls.ServerClient, orders.EngineClient):
-    """Talks to backend servers, each request over a connection of its own.
+    """Client of the backend servers; opens a connection for each request.
 
-    A kept connection may have been closed, or silenced, or may still carry a late second answer;
-    an order that is lost on it can't be repeated. A new one costs a millisecond and a hundredth
-    of the price of a request.
+    A reused connection may have been closed, may drop packets silently, or may still carry a late
+    second answer, and an order that is lost on it cannot be repeated. A new connection costs a
+    millisecond and a hundredth of the price of a request.
     """
 
     @contextlib.asynccontextmanager
@@ -48,7 +48,7 @@
         """See :class:`calls.ServerClient`."""
         connection = await _connect(server.address, min(CONNECT_TIMEOUT_S, forwarded.remaining_s))
         try:
-            with _lost_answers(server):
+            with _translated_errors(server):
                 request = _request(server, forwarded)
                 response = await connection.handle_async_request(request)
             _check_refusal(server, response)
@@ -68,7 +68,9 @@
         """See :class:`orders.EngineClient`."""
         body = _order_body(order) | {"precondition": order_count, "fence": fence}
         try:
-            status, _ = await self._control(server, b"POST", b"/order", json.dumps(body).encode())
+            status, _ = await self._control_call(
+                server, b"POST", b"/order", json.dumps(body).encode()
+            )
         except calls.NotRunError:
             return orders.OrderOutcome.UNREACHABLE
         except calls.AnswerLostError:
@@ -80,25 +82,31 @@
     async def look(self, server: servers.Server) -> servers.Server | None:
         """See :class:`orders.EngineClient`."""
         try:
-            status, content = await self._control(server, b"GET", b"/report", b"")
-            plain = json.loads(content) if status == 200 else None
+            status, content = await self._control_call(server, b"GET", b"/report", b"")
+            report_fields = json.loads(content) if status == 200 else None
         except (calls.ExchangeError, ValueError) as error:
             LOGGER.debug("%s: no report: %s", server.server_id, error)
             return None
-        if not isinstance(plain, dict):
+        if not isinstance(report_fields, dict):
             return None
-        # A report leaves out what only the registration tells.
-        known = {"service": server.service, "address": server.address, "zone": server.zone}
-        state = {"state": registrations.STATE_READY, "born": server.born_ms}
-        found = registrations.from_fields(server.server_id, known | state | plain)
-        # In a report "seq" counts the orders that began something; in a registration the same
-        # name counts the server's own writes.
-        count = plain.get("seq")
-        if found is None or not isinstance(count, int):
+        # A report omits the fields that only the registration has.
+        registered_fields = {
+            "service": server.service,
+            "address": server.address,
+            "zone": server.zone,
+        }
+        default_fields = {"state": registrations.STATE_READY, "born": server.born_ms}
+        reported = registrations.from_fields(
+            server.server_id, registered_fields | default_fields | report_fields
+        )
+        # In a report, "seq" counts the orders that the server has begun; in a registration, it
+        # counts the server's own writes.
+        order_count = report_fields.get("seq")
+        if reported is None or not isinstance(order_count, int):
             return None
-        return attrs.evolve(found, order_count=count)
+        return attrs.evolve(reported, order_count=order_count)
 
-    async def _control(
+    async def _control_call(
         self, server: servers.Server, method: bytes, target: bytes, body: bytes
     ) -> tuple[int, bytes]:
         lines = [
@@ -111,7 +119,7 @@
         connection = await _connect(server.address, CONTROL_TIMEOUT_S)
         content = bytearray()
         try:
-            with _lost_answers(server), trio.fail_after(CONTROL_TIMEOUT_S):
+            with _translated_errors(server), trio.fail_after(CONTROL_TIMEOUT_S):
                 request = httpcore.Request(
                     method, _url(server.address, target), headers=lines, content=body
                 )
@@ -119,12 +127,18 @@
                 async for chunk in response.aiter_stream():
                     content += chunk
                     if len(content) > REPORT_LIMIT_BYTES:
-                        raise calls.AnswerLostError(f"{server.server_id}: oversized answer")
+                        raise calls.AnswerLostError(
+                            f"{server.server_id}: response exceeds {REPORT_LIMIT_BYTES} bytes"
+                        )
             if response.status == 421:
-                raise calls.NotRunError(f"{server.server_id}: another server", is_gone=True)
+                raise calls.NotRunError(
+                    f"{server.server_id}: status 421: another server answered", is_gone=True
+                )
             return response.status, bytes(content)
         except trio.TooSlowError as error:
-            raise calls.AnswerLostError(f"{server.server_id}: no answer in time") from error
+            raise calls.AnswerLostError(
+                f"{server.server_id}: no response within {CONTROL_TIMEOUT_S} s"
+            ) from error
         finally:
             with trio.CancelScope(shield=True):
                 await connection.aclose()
@@ -174,7 +188,9 @@
     at_fault = headers.find(response.headers, headers.AT_FAULT)
     if response.status == 421:
         raise calls.NotRunError(
-            f"{server.server_id}: not this server, or not the head", True, at_fault
+            f"{server.server_id}: status 421: another server answered, or not the group's head",
+            True,
+            at_fault,
         )
     if headers.find(response.headers, headers.NOT_RUN):
         raise calls.NotRunError(
@@ -183,26 +199,26 @@
 
 
 def _check_identity(call: calls.Call, response: httpcore.Response) -> None:
-    found = headers.find(response.headers, headers.CALL_ID)
-    if found and found != call.call_id:
-        raise calls.AnswerLostError(f"an answer to another request, {found}")
+    answered_id = headers.find(response.headers, headers.CALL_ID)
+    if answered_id and answered_id != call.call_id:
+        raise calls.AnswerLostError(f"response belongs to another request, {answered_id}")
     if 200 <= response.status < 300:
         if not headers.find(response.headers, headers.SEAL):
-            raise calls.AnswerLostError("a success without the server's signature")
+            raise calls.AnswerLostError(f"status {response.status} without the server's signature")
         if headers.find(response.headers, b"content-encoding"):
-            raise calls.AnswerLostError("an encoded answer was not asked for")
+            raise calls.AnswerLostError("response has a content encoding that was not requested")
 
 
 async def _chunks(
     server: servers.Server, response: httpcore.Response
 ) -> collections.abc.AsyncIterator[bytes]:
-    with _lost_answers(server):
+    with _translated_errors(server):
         async for chunk in response.aiter_stream():
             yield chunk
 
 
 @contextlib.contextmanager
-def _lost_answers(server: servers.Server) -> collections.abc.Iterator[None]:
+def _translated_errors(server: servers.Server) -> collections.abc.Iterator[None]:
     try:
         yield
     except TRANSFER_ERRORS as error:
--- a/toucanhold/platform/settings.py
+++ b/toucanhold/platform/settings.py
@@ -76,37 +76,37 @@
         self.errors: list[str] = []
 
     def text(self, path: str, default: str | None = None) -> str:
-        value = self._lookup(path)
-        if isinstance(value, str) and value:
-            return value
-        if value is None and default is not None:
+        found = self._lookup(path)
+        if isinstance(found, str) and found:
+            return found
+        if found is None and default is not None:
             return default
-        self.errors.append(f"{path}: a text was expected, got {value!r}")
+        self.errors.append(f"{path}: a text was expected, got {found!r}")
         return ""
 
     def number(self, path: str, default: float, factor: float = 1.0) -> float:
-        value = self._lookup(path)
-        if value is None:
+        found = self._lookup(path)
+        if found is None:
             return default
-        if isinstance(value, bool) or not isinstance(value, int | float) or value < 0:
-            self.errors.append(f"{path}: a number of 0 or more was expected, got {value!r}")
+        if isinstance(found, bool) or not isinstance(found, int | float) or found < 0:
+            self.errors.append(f"{path}: a number of 0 or more was expected, got {found!r}")
             return default
-        return value * factor
+        return found * factor
 
     def first_port(self, path: str) -> int:
-        value = self._lookup(path)
-        if isinstance(value, list) and value and isinstance(value[0], int):
-            return value[0]
-        self.errors.append(f"{path}: two ports were expected, got {value!r}")
+        found = self._lookup(path)
+        if isinstance(found, list) and found and isinstance(found[0], int):
+            return found[0]
+        self.errors.append(f"{path}: two ports were expected, got {found!r}")
         return 0
 
     def _lookup(self, path: str) -> typing.Any:
-        value: typing.Any = self.document
+        found: typing.Any = self.document
         for name in path.split("."):
-            if not isinstance(value, collections.abc.Mapping):
+            if not isinstance(found, collections.abc.Mapping):
                 return None
-            value = value.get(name)
-        return value
+            found = found.get(name)
+        return found
 
 
 def load(variables: collections.abc.Mapping[str, str]) -> PlatformSettings:
--- a/toucanhold/platform/store.py
+++ b/toucanhold/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store, as a key-value service of the product."""
+"""Client of the platform's store, as the key-value service of this system."""
 
 from __future__ import annotations
 
@@ -15,24 +15,25 @@
 import httpcore
 import trio
 
-from toucanhold.coordination import keyvalue, mirror, transfer, watching
+from toucanhold.coordination import http_errors, keyvalue, mirror, watching
 
-# The store answers in 4 ms, in 240 ms when it is slow, and else not at all; a call that waits
-# longer than this delays what could be tried on another connection.
+# The store answers in 4 ms, in 240 ms when it is slow, and otherwise not at all; waiting longer
+# only delays the retry on another connection.
 CALL_TIMEOUT_S = 1.0
-# How much later than asked a watch may return before its connection is taken for dead: twice what a
-# slow store takes.
+# Time after a watch's requested wait until its connection is considered dead: twice the response
+# time of a slow store.
 WATCH_MARGIN_S = 0.6
-# A connection that went silent for good must not hold the kernel's buffers for minutes.
+# A dead connection must not occupy the kernel's send buffers for minutes.
 UNACKNOWLEDGED_LIMIT_MS = 3000
 MAX_CONNECTIONS = 16
 
 
 @attrs.define(eq=False)
 class StoreClient(keyvalue.KeyValueClient, watching.ChangeSource):
-    """Calls to the store at ``IP:port``.
+    """Client of the store.
 
-    :ivar calls: number of calls by kind, each of which is paid for
+    :ivar address: ``IP:port`` of the store
+    :ivar calls: number of calls by kind; the platform charges for each call
     """
 
     address: str
@@ -40,7 +41,7 @@
     _pool: httpcore.AsyncConnectionPool = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Build the pool; nothing is connected yet."""
+        """Build the connection pool; connections open with the first calls."""
         self._pool = httpcore.AsyncConnectionPool(
             max_connections=MAX_CONNECTIONS,
             retries=0,
@@ -55,14 +56,14 @@
         await self._pool.aclose()
 
     async def read(self, prefix: str, min_mod_revision: int = 0) -> keyvalue.RangeResult:
-        """Return the items under ``prefix``; pages are no snapshot.
+        """See :class:`keyvalue.KeyValueClient`; the pages read do not form a snapshot.
 
-        The revision is that of the first page, so a watch from there repeats what changed between
-        the pages.
+        The result has the revision of the first page, so a watch from there reports again what
+        changed between the pages.
         """
         result = await self._read_pages(prefix, may_be_stale=False)
-        kept = tuple(item for item in result.items if item.mod_revision >= min_mod_revision)
-        return keyvalue.RangeResult(result.revision, kept)
+        matching = tuple(item for item in result.items if item.mod_revision >= min_mod_revision)
+        return keyvalue.RangeResult(result.revision, matching)
 
     async def read_all(self, may_be_stale: bool) -> keyvalue.RangeResult:
         """See :class:`watching.ChangeSource`."""
@@ -71,28 +72,28 @@
     async def _read_pages(self, prefix: str, may_be_stale: bool) -> keyvalue.RangeResult:
         items: list[keyvalue.Item] = []
         first_revision = 0
-        after = ""
+        last_key = ""
         while True:
-            query = {"path_prefix": prefix} | ({"after": after} if after else {})
+            query = {"path_prefix": prefix} | ({"after": last_key} if last_key else {})
             if may_be_stale:
                 query["serializable"] = "1"
-            status, answer = await self._call("GET", "/kv-range", query=query)
-            _expect(status, 200, answer)
-            first_revision = first_revision or _number(answer, "store_revision")
-            page = [_item(plain) for plain in _list(answer, "items")]
+            status, response_fields = await self._call("GET", "/kv-range", query=query)
+            _check_status(status, 200, response_fields)
+            first_revision = first_revision or _get_int(response_fields, "store_revision")
+            page = [_parse_item(fields) for fields in _get_objects(response_fields, "items")]
             items += page
-            if not answer.get("has_more") or not page:
+            if not response_fields.get("has_more") or not page:
                 break
-            after = page[-1].key
+            last_key = page[-1].key
         return keyvalue.RangeResult(first_revision, tuple(items))
 
     async def read_key(self, key: str) -> keyvalue.Item | None:
         """See :class:`keyvalue.KeyValueClient`."""
-        status, answer = await self._call("GET", "/kv-key", query={"key": key})
+        status, response_fields = await self._call("GET", "/kv-key", query={"key": key})
         if status == 404:
             return None
-        _expect(status, 200, answer)
-        return _item(answer)
+        _check_status(status, 200, response_fields)
+        return _parse_item(response_fields)
 
     async def read_changes(self, after_revision: int, wait_s: float) -> mirror.Changes:
         """See :class:`watching.ChangeSource`."""
@@ -105,20 +106,22 @@
             "wait_ms": str(int(wait_s * 1000)),
         }
         timeout_s = wait_s + WATCH_MARGIN_S
-        status, answer = await self._call("GET", "/kv-watch", query=query, timeout_s=timeout_s)
+        status, response_fields = await self._call(
+            "GET", "/kv-watch", query=query, timeout_s=timeout_s
+        )
         if status == 410:
             raise keyvalue.CompactedError(prefix)
-        _expect(status, 200, answer)
-        newest: dict[str, keyvalue.Item | mirror.Deletion] = {}
-        for plain in _list(answer, "events"):
-            change = _deletion(plain) if plain.get("tombstone") else _item(plain)
-            newest[change.key] = change
-        found = newest.values()
+        _check_status(status, 200, response_fields)
+        latest_by_key: dict[str, keyvalue.Item | mirror.Deletion] = {}
+        for fields in _get_objects(response_fields, "events"):
+            change = _parse_deletion(fields) if fields.get("tombstone") else _parse_item(fields)
+            latest_by_key[change.key] = change
+        newest_changes = latest_by_key.values()
         return mirror.Changes(
             after_revision,
-            max(after_revision, _number(answer, "store_revision")),
-            tuple(change for change in found if isinstance(change, keyvalue.Item)),
-            tuple(change for change in found if isinstance(change, mirror.Deletion)),
+            max(after_revision, _get_int(response_fields, "store_revision")),
+            tuple(change for change in newest_changes if isinstance(change, keyvalue.Item)),
+            tuple(change for change in newest_changes if isinstance(change, mirror.Deletion)),
         )
 
     async def commit(
@@ -128,35 +131,37 @@
     ) -> keyvalue.CommitResult:
         """See :class:`keyvalue.KeyValueClient`."""
         body = {
-            "precondition": [_precondition(condition) for condition in conditions],
-            "puts": [_put(write) for write in writes if write.value is not None],
+            "precondition": [_encode_condition(condition) for condition in conditions],
+            "puts": [_encode_put(write) for write in writes if write.value is not None],
             "remove": [write.key for write in writes if write.value is None],
         }
-        status, answer = await self._call("POST", "/kv-txn", body=body)
+        status, response_fields = await self._call("POST", "/kv-txn", body=body)
         if status == 412:
             return keyvalue.CommitResult(False, 0)
-        _expect(status, 200, answer)
-        return keyvalue.CommitResult(True, _number(answer, "revision"))
+        _check_status(status, 200, response_fields)
+        return keyvalue.CommitResult(True, _get_int(response_fields, "revision"))
 
     async def grant_lease(self, ttl_s: int) -> int:
         """See :class:`keyvalue.KeyValueClient`."""
-        status, answer = await self._call("POST", "/kv-lease", body={"ttl_ms": int(ttl_s * 1000)})
-        _expect(status, 200, answer)
-        return _number(answer, "lease")
+        status, response_fields = await self._call(
+            "POST", "/kv-lease", body={"ttl_ms": int(ttl_s * 1000)}
+        )
+        _check_status(status, 200, response_fields)
+        return _get_int(response_fields, "lease")
 
     async def keep_alive(self, lease: int) -> bool:
         """See :class:`keyvalue.KeyValueClient`."""
-        status, answer = await self._call("POST", f"/kv-keep/{lease}")
+        status, response_fields = await self._call("POST", f"/kv-keep/{lease}")
         if status == 404:
             return False
-        _expect(status, 200, answer)
+        _check_status(status, 200, response_fields)
         return True
 
     async def revoke_lease(self, lease: int) -> None:
         """See :class:`keyvalue.KeyValueClient`."""
-        status, answer = await self._call("DELETE", f"/kv-lease-end/{lease}")
+        status, response_fields = await self._call("DELETE", f"/kv-lease-end/{lease}")
         if status != 404:
-            _expect(status, 200, answer)
+            _check_status(status, 200, response_fields)
 
     @contextlib.asynccontextmanager
     async def watch(
@@ -182,10 +187,11 @@
         body: object = None,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> tuple[int, dict]:
-        """Make one call.
+        """Make one call and return its HTTP status and its JSON object, empty without a body.
 
-        :raises keyvalue.UnavailableError: when it certainly did nothing
-        :raises keyvalue.IndeterminateError: when it may have taken effect
+        :param timeout_s: longest wait for the response
+        :raises keyvalue.UnavailableError: when the call certainly had no effect
+        :raises keyvalue.IndeterminateError: when the call may have taken effect
         """
         self.calls[path.split("/")[1].removeprefix("kv-")] += 1
         target = path + ("?" + urllib.parse.urlencode(query) if query else "")
@@ -195,7 +201,7 @@
             headers.append(("content-type", "application/json"))
         timeouts = {"connect": CALL_TIMEOUT_S, "pool": CALL_TIMEOUT_S}
         timeouts |= {"read": timeout_s, "write": CALL_TIMEOUT_S}
-        with transfer.translated_errors(), trio.fail_after(timeout_s + CALL_TIMEOUT_S):
+        with http_errors.translated_errors(), trio.fail_after(timeout_s + CALL_TIMEOUT_S):
             response = await self._pool.request(
                 method,
                 f"http://{self.address}{target}",
@@ -205,70 +211,76 @@
             )
         if response.status in (429, 503):
             raise keyvalue.UnavailableError(f"{path}: refused with status {response.status}")
-        return response.status, _plain(path, response.content)
+        return response.status, _parse_object(path, response.content)
 
 
-def _expect(status: int, wanted: int, answer: dict) -> None:
-    if status != wanted:
-        raise keyvalue.IndeterminateError(f"status {status}: {answer}")
+def _check_status(status: int, expected_status: int, response_fields: dict) -> None:
+    if status != expected_status:
+        raise keyvalue.IndeterminateError(
+            f"expected status {expected_status}, got {status}: {response_fields}"
+        )
 
 
-def _plain(path: str, content: bytes) -> dict:
+def _parse_object(path: str, content: bytes) -> dict:
     if not content:
         return {}
     try:
-        answer = json.loads(content)
+        response_fields = json.loads(content)
     except ValueError as error:
-        raise keyvalue.IndeterminateError(f"{path}: malformed answer") from error
-    if not isinstance(answer, dict):
-        raise keyvalue.IndeterminateError(f"{path}: malformed answer")
-    return answer
+        raise keyvalue.IndeterminateError(f"{path}: response is not JSON") from error
+    if not isinstance(response_fields, dict):
+        raise keyvalue.IndeterminateError(f"{path}: expected a JSON object as response")
+    return response_fields
 
 
-def _list(answer: dict, name: str) -> list[dict]:
-    found = answer.get(name)
-    if not isinstance(found, list):
-        raise keyvalue.IndeterminateError(f"an answer without {name}")
-    return [each for each in found if isinstance(each, dict)]
+def _get_objects(response_fields: dict, name: str) -> list[dict]:
+    entries = response_fields.get(name)
+    if not isinstance(entries, list):
+        raise keyvalue.IndeterminateError(
+            f"expected a list in {name}, got {type(entries).__name__}"
+        )
+    return [fields for fields in entries if isinstance(fields, dict)]
 
 
-def _number(answer: dict, name: str) -> int:
-    found = answer.get(name)
-    if not isinstance(found, int):
-        raise keyvalue.IndeterminateError(f"an answer without {name}")
-    return found
+def _get_int(response_fields: dict, name: str) -> int:
+    number = response_fields.get(name)
+    if not isinstance(number, int):
+        raise keyvalue.IndeterminateError(
+            f"expected an integer in {name}, got {type(number).__name__}"
+        )
+    return number
 
 
-def _item(plain: dict) -> keyvalue.Item:
+def _parse_item(fields: dict) -> keyvalue.Item:
     try:
-        value = base64.b64decode(plain.get("value") or "")
+        value = base64.b64decode(fields.get("value") or "")
     except (binascii.Error, ValueError, TypeError):
-        # Another writer's bytes: readers of the key find them unreadable by themselves.
+        # Written by another client; readers of the key report an undecodable value themselves.
         value = b""
     return keyvalue.Item(
-        key=str(plain.get("key", "")),
+        key=str(fields.get("key", "")),
         value=value,
-        # The wire's "revision" is that of the last change; "create_rev" that of the creation.
-        create_revision=int(plain.get("create_rev") or 0),
-        mod_revision=int(plain.get("revision") or 0),
-        lease=int(plain.get("lease") or 0),
+        # The store's "revision" is that of the last change, "create_rev" that of the creation.
+        create_revision=int(fields.get("create_rev") or 0),
+        mod_revision=int(fields.get("revision") or 0),
+        lease=int(fields.get("lease") or 0),
     )
 
 
-def _deletion(plain: dict) -> mirror.Deletion:
-    return mirror.Deletion(str(plain.get("key", "")), int(plain.get("revision") or 0))
+def _parse_deletion(fields: dict) -> mirror.Deletion:
+    return mirror.Deletion(str(fields.get("key", "")), int(fields.get("revision") or 0))
 
 
-def _precondition(condition: keyvalue.Condition) -> dict:
+def _encode_condition(condition: keyvalue.Condition) -> dict:
     revision = condition.mod_revision
     if revision is None and condition.create_revision == 0:
         revision = 0
     if revision is None:
-        raise ValueError("the store compares only the revision of the last change")
+        raise ValueError("the store can compare only the revision of the last change")
     return {"key": condition.key, "revision": revision}
 
 
-def _put(write: keyvalue.Write) -> dict:
+def _encode_put(write: keyvalue.Write) -> dict:
     assert write.value is not None
     value = base64.b64encode(write.value).decode()
     return {"key": write.key, "value": value, "lease": write.lease}
--- a/toucanhold/relay/__init__.py
+++ b/toucanhold/relay/__init__.py
@@ -1,6 +1,6 @@
-"""What the key-value service holds, passed on from entry to entry.
+"""Relays the key-value service's items and their changes between entries.
 
-Each call to the service is paid for and counts towards its rate, a waiting watch too. Were each
-entry to watch by itself, each change would cost as many calls as there are entries. So the planner
-watches and publishes what changed, and the others follow it, by availability zone.
+The platform charges for each call to the service and limits their rate, including waiting watches.
+If each entry watched the service itself, each change would cost as many calls as there are entries.
+So the planner watches and publishes the changes, and the others follow it, by availability zone.
 """
--- a/toucanhold/relay/following.py
+++ b/toucanhold/relay/following.py
@@ -1,4 +1,4 @@
-"""Keeping this entry's copy up to date: by the service, or by another entry."""
+"""Keeps this entry's mirror up to date from another entry, or from the service itself."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from toucanhold.peers import frames, transport
 from toucanhold.relay import messages, publishing
 
-# Within a region a connection takes some milliseconds; an entry that was killed refuses at once.
+# Within a region a connection takes some milliseconds; the VM of a killed entry refuses at once.
 CONNECT_TIMEOUT_S = 0.3
 SILENCE_TIMEOUT_S = 2.4 * publishing.HEARTBEAT_INTERVAL_S
-# A watch tells nothing for up to its longest wait; a slow service answers it half a second
-# later. A copy that is older has come in a circle, or by an entry that was paused.
-STALE_S = watching.WATCH_WAIT_S + 1.0
-# How often an entry that must watch for itself looks for one to follow.
-LOOK_AGAIN_S = 2.0
-# How long an entry stays with its second choice before it tries its first one again.
-SECOND_CHOICE_S = 4.0
+# A watch without changes returns after its longest wait, and half a second later from a slow
+# service. A mirror confirmed longer ago comes from a cycle of followers or from a paused entry.
+MAX_CONFIRMED_AGE_S = watching.WATCH_WAIT_S + 1.0
+# Interval at which an entry that watches the service itself retries its sources.
+SOURCE_RETRY_INTERVAL_S = 2.0
+# Time for which an entry follows a source other than its first before it tries the first again.
+FALLBACK_SOURCE_LIFETIME_S = 4.0
 FRAME_LIMIT_BYTES = 64 * 1024 * 1024
 
 LOGGER = logging.getLogger(__name__)
@@ -33,27 +33,32 @@
 
 
 class SourceLostError(Exception):
-    """An entry that was followed ended its stream, fell silent, or has lost the service."""
+    """The entry followed closed its stream, timed out, or no longer gets answers of the service."""
 
 
 @attrs.define(eq=False)
-class _Source:
-    """A stream from an entry that is followed."""
+class _SourceStream:
+    """A stream from an entry that is followed.
+
+    :ivar opened_s: time of trio's clock at which the stream was opened
+    """
 
     address: str
-    framed: frames.FrameStream
+    frame_stream: frames.FrameStream
     opened_s: float = attrs.field(factory=trio.current_time)
 
 
 @attrs.define(eq=False)
 class Follower:
-    """Follows another entry where it can, and else watches the service itself.
+    """Follows another entry if one is available, and otherwise watches the service itself.
 
-    :ivar sources: returns whom to follow, best first; nobody where this entry is to watch
-    :ivar is_watching: whether it watches the service itself now
+    :ivar watch: keeps the mirror up to date from the service
+    :ivar sources: returns the addresses of entries to follow, in order of preference; empty if this
+        entry is to watch the service
+    :ivar is_watching: whether this entry watches the service now
     """
 
-    copy: mirror.Mirror
+    mirror: mirror.Mirror
     watch: watching.ServiceWatch
     transport: transport.PeerTransport
     sources: Sources
@@ -61,15 +66,15 @@
     is_watching: bool = attrs.field(default=False, init=False)
 
     async def run(self) -> None:
-        """Keep the copy up to date until cancelled."""
+        """Keep the mirror up to date until cancelled."""
         while True:
             if not self.sources():
                 await self._watch_until(self._wait_for_sources)
                 continue
             async with contextlib.AsyncExitStack() as streams:
-                source = await self._open_one(streams)
+                source = await self._open_first_available(streams)
                 if source is None:
-                    await self._watch_until(self._look_for_source, streams)
+                    await self._watch_until(self._retry_sources, streams)
                 else:
                     await self._follow(source)
 
@@ -78,7 +83,7 @@
     ) -> None:
         self.is_watching = True
         self.watch.max_backoff_s = (
-            watching.PATIENT_BACKOFF_S if self.sources() else watching.MAX_BACKOFF_S
+            watching.MAX_BACKOFF_WITH_SOURCES_S if self.sources() else watching.MAX_BACKOFF_S
         )
         try:
             async with trio.open_nursery() as nursery:
@@ -90,92 +95,103 @@
 
     async def _wait_for_sources(self) -> None:
         while not self.sources():
-            await self.copy.changed.wait(LOOK_AGAIN_S)
+            await self.mirror.changed.wait(SOURCE_RETRY_INTERVAL_S)
 
-    async def _look_for_source(self, streams: contextlib.AsyncExitStack) -> None:
-        # Others may have lost the service as well; each look costs them little, and the service
-        # one call less a second for each entry that finds one.
+    async def _retry_sources(self, streams: contextlib.AsyncExitStack) -> None:
+        # The sources may have lost the service as well. Each attempt costs them little, and each
+        # entry that finds a source saves the service one call per second.
         while True:
-            await trio.sleep(LOOK_AGAIN_S * self.rng.uniform(0.8, 1.2))
-            source = await self._open_one(streams)
+            await trio.sleep(SOURCE_RETRY_INTERVAL_S * self.rng.uniform(0.8, 1.2))
+            source = await self._open_first_available(streams)
             if source is not None or not self.sources():
                 return
 
-    async def _open_one(self, streams: contextlib.AsyncExitStack) -> _Source | None:
+    async def _open_first_available(
+        self, streams: contextlib.AsyncExitStack
+    ) -> _SourceStream | None:
         for address in self.sources():
             try:
                 return await self._open(address, streams)
             except (SourceLostError, transport.TransportError) as error:
-                LOGGER.debug("%s cannot be followed: %s", address, error)
+                LOGGER.debug("cannot follow %s: %s", address, error)
         return None
 
-    async def _open(self, address: str, streams: contextlib.AsyncExitStack) -> _Source:
+    async def _open(self, address: str, streams: contextlib.AsyncExitStack) -> _SourceStream:
         try:
             with trio.fail_after(CONNECT_TIMEOUT_S):
                 stream = await self.transport.connect(address)
         except trio.TooSlowError as error:
-            raise SourceLostError("no connection in time") from error
+            raise SourceLostError(f"not connected within {CONNECT_TIMEOUT_S} s") from error
         async with contextlib.AsyncExitStack() as opened:
             await opened.enter_async_context(stream)
-            framed = frames.FrameStream(stream, FRAME_LIMIT_BYTES, SILENCE_TIMEOUT_S)
-            source = _Source(address, framed)
+            frame_stream = frames.FrameStream(stream, FRAME_LIMIT_BYTES, SILENCE_TIMEOUT_S)
+            source = _SourceStream(address, frame_stream)
             with _translated_errors():
-                await framed.send([messages.encode(messages.Subscribe(self.copy.revision))])
-            # Its first word tells whether it has the service itself. If not, its stream is closed
-            # here: through an outage it would otherwise go on beside those of later looks.
-            await self._receive(source)
+                await frame_stream.send([messages.encode(messages.Subscribe(self.mirror.revision))])
+            # The first status says whether the source gets answers of the service. If not, its
+            # stream is closed here; otherwise streams of repeated attempts would accumulate during
+            # an outage.
+            await self._receive_until_status(source)
             streams.push_async_exit(opened.pop_all())
             return source
 
-    async def _follow(self, source: _Source) -> None:
+    async def _follow(self, source: _SourceStream) -> None:
         events.log(LOGGER, events.Event.SOURCE_FOLLOWED, source=source.address)
         try:
-            while self._is_wanted(source):
-                await self._receive(source)
+            while self._is_still_preferred(source):
+                await self._receive_until_status(source)
         except SourceLostError as error:
             events.log(
                 LOGGER,
                 events.Event.SOURCE_LOST,
                 source=source.address,
                 reason=str(error),
-                revision=self.copy.revision,
-                confirmed_s=round(self.copy.standing.confirmed.age_s(), 3),
+                revision=self.mirror.revision,
+                confirmed_s=round(self.mirror.sync_status.confirmed_at.age_s(), 3),
             )
 
-    def _is_wanted(self, source: _Source) -> bool:
-        wanted = self.sources()
-        if source.address in wanted[:1]:
+    def _is_still_preferred(self, source: _SourceStream) -> bool:
+        addresses = self.sources()
+        if source.address in addresses[:1]:
             return True
-        return source.address in wanted and trio.current_time() - source.opened_s < SECOND_CHOICE_S
+        return (
+            source.address in addresses
+            and trio.current_time() - source.opened_s < FALLBACK_SOURCE_LIFETIME_S
+        )
+
+    async def _receive_until_status(self, source: _SourceStream) -> None:
+        """Apply messages up to and including the next status.
 
-    async def _receive(self, source: _Source) -> None:
-        """Take in messages up to and with the next status."""
+        :raises SourceLostError: when the stream fails, or the source lags behind the service
+        """
         while True:
             with _translated_errors():
-                message = messages.decode(await source.framed.receive())
+                message = messages.decode(await source.frame_stream.receive())
             match message:
                 case messages.Snapshot():
                     result = keyvalue.RangeResult(message.revision, message.items)
-                    self.copy.replace(result)
+                    self.mirror.replace(result)
                 case messages.Update():
-                    self.copy.apply(message.changes)
+                    self.mirror.apply(message.changes)
                 case messages.Status():
                     self._apply_status(source, message)
                     return
 
-    def _apply_status(self, source: _Source, status: messages.Status) -> None:
+    def _apply_status(self, source: _SourceStream, status: messages.Status) -> None:
         now = clock.read()
-        standing = mirror.Standing(
-            _before(now, status.confirmed_s), status.is_answering, _before(now, status.failed_s)
+        sync_status = mirror.SyncStatus(
+            _instant_before(now, status.confirmed_s),
+            status.is_answering,
+            _instant_before(now, status.failed_s),
         )
-        if not status.is_answering or status.confirmed_s > STALE_S:
+        if not status.is_answering or status.confirmed_s > MAX_CONFIRMED_AGE_S:
             raise SourceLostError(
-                f"it has had nothing from the service for {status.confirmed_s:.2f} s"
+                f"source lost the service; last up to date {status.confirmed_s:.2f} s ago"
             )
-        self.copy.note_standing(standing, source.address)
+        self.mirror.update_sync_status(sync_status, source.address)
 
 
-def _before(now: clock.Instant, age_s: float) -> clock.Instant:
+def _instant_before(now: clock.Instant, age_s: float) -> clock.Instant:
     return clock.Instant(now.monotonic_s - age_s, now.suspended_s)
 
 
@@ -186,4 +202,4 @@
     except (frames.FrameError, messages.MessageError) as error:
         raise SourceLostError(str(error)) from error
     except trio.TooSlowError as error:
-        raise SourceLostError("it has fallen silent") from error
+        raise SourceLostError(f"no message within {SILENCE_TIMEOUT_S} s") from error
--- a/toucanhold/relay/messages.py
+++ b/toucanhold/relay/messages.py
@@ -1,4 +1,4 @@
-"""What entries say to each other on a stream that passes changes on."""
+"""Messages between an entry that publishes changes and the entries that follow it."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from toucanhold import codec
 from toucanhold.coordination import keyvalue, mirror
 
-# Configurations of hundreds of routes shrink to a tenth; level 1 takes a millisecond for 100 KB.
+# Level 1 compresses 100 KB in a millisecond, and configurations of hundreds of routes to a tenth.
 COMPRESSION_LEVEL = 1
-COMPRESSED = b"z"
-PLAIN = b"p"
-LEAST_COMPRESSED_BYTES = 400
+COMPRESSED_MARKER = b"z"
+PLAIN_MARKER = b"p"
+MIN_COMPRESSED_BYTES = 400
 
 
 class MessageError(Exception):
-    """Bytes that are no message of this protocol."""
+    """A frame's body is not a message of this protocol."""
 
 
 @attrs.frozen
 class Subscribe:
-    """Asks for what changes after a revision; 0 asks for everything."""
+    """Requests the changes after ``revision``; 0 requests a snapshot."""
 
     revision: int
 
@@ -37,17 +37,17 @@
 
 @attrs.frozen
 class Update:
-    """What changed between two revisions."""
+    """The changes between two revisions."""
 
     changes: mirror.Changes
 
 
 @attrs.frozen
 class Status:
-    """How far the sender's copy can be relied on; sent at an interval.
+    """How current the sender's mirror is; sent at an interval.
 
-    :ivar is_answering: whether the service's last call was answered
-    :ivar confirmed_s: seconds since the copy certainly held all that the service had
+    :ivar is_answering: whether the service answered the last call
+    :ivar confirmed_s: seconds since the mirror last certainly held all items of the service
     :ivar failed_s: seconds since a call to the service last failed
     """
 
@@ -57,25 +57,25 @@
 
 
 Message = Subscribe | Snapshot | Update | Status
-KINDS = {kind.__name__: kind for kind in (Subscribe, Snapshot, Update, Status)}
+MESSAGE_TYPES = {kind.__name__: kind for kind in (Subscribe, Snapshot, Update, Status)}
 
 
 def encode(message: Message) -> bytes:
-    """Return a frame's body."""
+    """Return the frame body of a message, compressed from ``MIN_COMPRESSED_BYTES`` on."""
     data = codec.pack_tagged(type(message).__name__, message)
-    if len(data) < LEAST_COMPRESSED_BYTES:
-        return PLAIN + data
-    return COMPRESSED + zlib.compress(data, COMPRESSION_LEVEL)
+    if len(data) < MIN_COMPRESSED_BYTES:
+        return PLAIN_MARKER + data
+    return COMPRESSED_MARKER + zlib.compress(data, COMPRESSION_LEVEL)
 
 
 def decode(body: bytes) -> Message:
-    """Return the message of a frame's body.
+    """Return the message in a frame's body.
 
-    :raises MessageError: when there is none in it
+    :raises MessageError: when the body is not a message of this protocol
     """
     try:
-        data = zlib.decompress(body[1:]) if body[:1] == COMPRESSED else body[1:]
+        data = zlib.decompress(body[1:]) if body[:1] == COMPRESSED_MARKER else body[1:]
         tag, plain = codec.unpack_tagged(data)
-        return codec.from_plain_tolerant(plain, KINDS[tag])
+        return codec.from_plain_tolerant(plain, MESSAGE_TYPES[tag])
     except (zlib.error, codec.CodecError, KeyError) as error:
         raise MessageError(f"not a message: {error!r}") from error
