--- a/toucanhold/coordination/following.py
+++ b/toucanhold/coordination/following.py
@@ -57,8 +57,8 @@
         # would keep stale state; hence a read at an interval.
         with trio.move_on_after(REFRESH_INTERVAL_S * self.rng.uniform(0.8, 1.2)):
             async with self.client.watch(self.prefix, revision + 1) as revisions:
-                async for changed in revisions:
-                    if changed > revision:
+                async for changed_revision in revisions:
+                    if changed_revision > revision:
                         revision = await self.refresh()
 
     def _set_answering(self, is_answering: bool, reason: str) -> None:
--- a/toucanhold/relay/following.py
+++ b/toucanhold/relay/following.py
@@ -52,14 +52,14 @@
 class Follower:
     """Follows another entry if one is available, and otherwise watches the service itself.
 
-    :ivar watch: keeps the mirror up to date from the service
+    :ivar service_watch: keeps the mirror up to date from the service
     :ivar sources: returns the addresses of entries to follow, in order of preference; empty if this
         entry is to watch the service
     :ivar is_watching: whether this entry watches the service now
     """
 
     mirror: mirror.Mirror
-    watch: watching.ServiceWatch
+    service_watch: watching.ServiceWatch
     transport: transport.PeerTransport
     sources: Sources
     rng: random.Random
@@ -82,12 +82,12 @@
         self, wait: collections.abc.Callable[..., collections.abc.Awaitable], *arguments
     ) -> None:
         self.is_watching = True
-        self.watch.max_backoff_s = (
+        self.service_watch.max_backoff_s = (
             watching.MAX_BACKOFF_WITH_SOURCES_S if self.sources() else watching.MAX_BACKOFF_S
         )
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.watch.run)
+                nursery.start_soon(self.service_watch.run)
                 await wait(*arguments)
                 nursery.cancel_scope.cancel()
         finally:
