--- a/tests/platform/test_platform_words.py
+++ b/tests/platform/test_platform_parsing.py
@@ -1,4 +1,4 @@
-"""Settings, registrations and configurations as the platform writes them."""
+"""Tests of parsing the platform's settings, registrations and configurations."""
 
 import json
 import unittest
@@ -67,29 +67,29 @@
 }
 
 
-def item(key, plain):
-    value = plain if isinstance(plain, bytes) else json.dumps(plain).encode()
+def item(key, fields):
+    value = fields if isinstance(fields, bytes) else json.dumps(fields).encode()
     return keyvalue.Item(key, value, 5, 6)
 
 
-async def decoded(plain):
-    return registrations.decode(item("servers/i-1", plain))
+async def parse_registration(fields):
+    return registrations.decode(item("servers/i-1", fields))
 
 
 class SettingsTest(unittest.TestCase):
-    def test_units_are_turned_into_seconds(self):
-        found = settings.parse(SETTINGS)
-        self.assertEqual("10.1.0.40:7340", found.exchange_address)
-        self.assertEqual(4.0, found.bounds.stall_s)
+    def test_units_are_converted_to_seconds(self):
+        parsed = settings.parse(SETTINGS)
+        self.assertEqual("10.1.0.40:7340", parsed.exchange_address)
+        self.assertEqual(4.0, parsed.bounds.stall_s)
 
-    def test_every_mistake_is_named(self):
+    def test_every_invalid_field_is_named(self):
         text = SETTINGS.replace('node = "front-1"', "node = 3").replace("= 0.2", '= "much"')
         with self.assertRaises(settings.SettingsError) as caught:
             settings.parse(text.replace("[7340, 7355]", "[]"))
         for name in ("node", "bounds.retry_ratio", "internal_ports"):
             self.assertIn(name, str(caught.exception))
 
-    def test_missing_file_is_an_error_that_says_so(self):
+    def test_missing_file_is_named_in_the_error(self):
         with self.assertRaisesRegex(settings.SettingsError, "TOUCANHOLD_SETTINGS"):
             settings.load({})
         with self.assertRaisesRegex(settings.SettingsError, "nowhere"):
@@ -97,16 +97,16 @@
 
 
 class RegistrationTest(unittest.TestCase):
-    def test_fields_say_what_they_hold(self):
-        server = trio.run(decoded, REGISTRATION)
+    def test_registration_fields_are_parsed(self):
+        server = trio.run(parse_registration, REGISTRATION)
         self.assertEqual(
             ("i-1", 17, "m0", "d1"), (*server.incarnation, server.model, server.domain)
         )
         self.assertIs(servers.GroupState.OPEN, server.state_in("g7", 12))
         self.assertIsNone(server.order_count)
 
-    def test_other_writers_entries_name_no_server(self):
-        broken = [
+    def test_unusable_registrations_yield_no_server(self):
+        unusable = [
             b"\xff",
             b"[]",
             b"{}",
@@ -114,31 +114,37 @@
             REGISTRATION | {"state": "dancing"},
             REGISTRATION | {"service": 5},
         ]
-        for plain in broken:
-            with self.subTest(plain=plain):
-                self.assertIsNone(trio.run(decoded, plain))
-
-    def test_odd_values_in_fields_that_may_lack_do_no_harm(self):
-        odd = REGISTRATION | {"slots": "many", "born": None, "staged": 4, "group": [], "models": 1}
-        server = trio.run(decoded, odd)
+        for fields in unusable:
+            with self.subTest(fields=fields):
+                self.assertIsNone(trio.run(parse_registration, fields))
+
+    def test_invalid_optional_fields_fall_back_to_defaults(self):
+        invalid = REGISTRATION | {
+            "slots": "many",
+            "born": None,
+            "staged": 4,
+            "group": [],
+            "models": 1,
+        }
+        server = trio.run(parse_registration, invalid)
         self.assertEqual((1, 0, (), None), (server.slots, server.born_ms, server.staged, None))
 
 
 class ConfigurationTest(unittest.TestCase):
     def test_routes_services_and_keys(self):
-        found = configuration.decode(item("op/config", CONFIGURATION))
-        route = found.find("a.example", "/a/b")
+        parsed = configuration.decode(item("op/config", CONFIGURATION))
+        route = parsed.find("a.example", "/a/b")
         self.assertIs(table.Repeatability.RESUMABLE, route.repeatability)
         self.assertEqual([table.ServiceShare("llm", 90)], list(route.split))
         self.assertEqual((8.0, 0.3), (route.timeout_s, route.objective_s))
-        self.assertEqual("w1", found.workspaces["k2"].name)
+        self.assertEqual("w1", parsed.workspaces["k2"].name)
 
     def test_stream_that_may_not_be_resumed_runs_once(self):
-        plain = CONFIGURATION | {"routes": [ROUTE | {"resumable": False}]}
-        found = configuration.decode(item("op/config", plain))
-        self.assertFalse(found.find("a.example", "/a/b").may_repeat)
+        fields = CONFIGURATION | {"routes": [ROUTE | {"resumable": False}]}
+        parsed = configuration.decode(item("op/config", fields))
+        self.assertFalse(parsed.find("a.example", "/a/b").may_repeat)
 
     def test_unreadable_configuration_is_an_error(self):
-        for plain in (b"{", {"version": 3}, CONFIGURATION | {"routes": [{"name": "x"}]}):
-            with self.subTest(plain=plain), self.assertRaises(configuration.ConfigurationError):
-                configuration.decode(item("op/config", plain))
+        for fields in (b"{", {"version": 3}, CONFIGURATION | {"routes": [{"name": "x"}]}):
+            with self.subTest(fields=fields), self.assertRaises(configuration.ConfigurationError):
+                configuration.decode(item("op/config", fields))
--- a/tests/platform/test_platform_store.py
+++ b/tests/platform/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The platform's store as a key-value service of the product."""
+"""Tests of the client of the platform's store against a stand-in over HTTP."""
 
 import unittest
 
@@ -25,7 +25,7 @@
 
 class StoreTest(unittest.TestCase):
     @with_store
-    async def test_pages_are_read_to_the_end(self, app, client):
+    async def test_all_pages_are_read(self, app, client):
         app.page_size = 2
         for number in range(5):
             app.put(f"servers/{number}", b"x")
@@ -35,7 +35,7 @@
         self.assertEqual({"range": 3}, client.calls)
 
     @with_store
-    async def test_changes_tell_items_and_deletions(self, app, client):
+    async def test_changes_contain_items_and_deletions(self, app, client):
         app.put("a/1", b"x")
         start = app.revision
         app.put("a/2", b"y")
@@ -46,7 +46,7 @@
         self.assertEqual((start, app.revision), (changes.after, changes.revision))
 
     @with_store
-    async def test_history_that_is_gone_is_told(self, app, client):
+    async def test_compacted_history_raises_an_error(self, app, client):
         app.put("a/1", b"x")
         app.forget_history()
         with self.assertRaises(keyvalue.CompactedError):
@@ -57,15 +57,15 @@
         write = keyvalue.Write("k", b"1")
         first = await client.commit([keyvalue.Condition("k", mod_revision=0)], [write])
         self.assertTrue(first.succeeded)
-        again = await client.commit([keyvalue.Condition("k", mod_revision=0)], [write])
-        self.assertFalse(again.succeeded)
+        second = await client.commit([keyvalue.Condition("k", mod_revision=0)], [write])
+        self.assertFalse(second.succeeded)
         item = await client.read_key("k")
         self.assertEqual(
             (first.revision, first.revision), (item.create_revision, item.mod_revision)
         )
 
     @with_store
-    async def test_refused_call_did_nothing_and_lost_one_may_have(self, app, client):
+    async def test_refused_call_has_no_effect_and_a_lost_one_may_have(self, app, client):
         app.refuse = 503
         with self.assertRaises(keyvalue.UnavailableError):
             await client.commit([], [keyvalue.Write("k", b"1")])
@@ -75,7 +75,7 @@
         self.assertIsNotNone(await client.read_key("k"))
 
     @with_store
-    async def test_lease_ends(self, app, client):
+    async def test_revoked_lease_cannot_be_renewed(self, app, client):
         lease = await client.grant_lease(2)
         self.assertEqual(2000, app.leases[lease])
         self.assertTrue(await client.keep_alive(lease))
--- a/tests/test_lease_release.py
+++ b/tests/test_lease_release.py
@@ -1,4 +1,4 @@
-"""A released key stays released."""
+"""Tests that a leased key is not acquired again after its release."""
 
 import random
 import unittest
@@ -14,11 +14,11 @@
 
 class ReleaseTest(unittest.TestCase):
     def test_key_is_not_acquired_again(self):
-        # An entry that stops takes itself out of the roster. Its renewal task wrote the key anew
-        # a second later, with the state "serving": callers were sent to it until it ended.
+        # Guards against callers that are sent to a stopping entry: after the entry had deleted its
+        # key, its renewal task wrote the key again with the state "serving".
         self.assertEqual([], self.keys_after(5.0))
 
-    def test_key_whose_acquisition_is_under_way_is_released_too(self):
+    def test_key_that_is_acquired_during_the_release_is_released(self):
         for released_after_s in (0.3, 0.6, 1.1, 1.6, 2.1):
             with self.subTest(released_after_s=released_after_s):
                 self.assertEqual([], self.keys_after(released_after_s, "slow"))
@@ -28,34 +28,34 @@
             platform = memory.MemoryPlatform()
             client = platform.client("entry-0")
             platform.set_mode(mode)
-            held = lease.LeasedKey(client, KEY, b"serving", 60, random.Random(1))
+            leased_key = lease.LeasedKey(client, KEY, b"serving", 60, random.Random(1))
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(held.run)
+                nursery.start_soon(leased_key.run)
                 await trio.sleep(released_after_s)
-                await held.release()
+                await leased_key.release()
                 await trio.sleep(20)
                 nursery.cancel_scope.cancel()
-            self.assertFalse(held.is_held())
+            self.assertFalse(leased_key.is_held())
             return list(platform.store.pairs)
 
         return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_acquiring_an_uncontended_key_reads_nothing_back(self):
-        """Guards against a call an entry that is paid for when all entries start again."""
+    def test_acquiring_an_uncontended_key_makes_no_read(self):
+        """Guards against one more paid call per entry when all entries restart."""
 
         async def main():
             platform = memory.MemoryPlatform()
             client = platform.client("entry-0")
-            held = lease.LeasedKey(
+            leased_key = lease.LeasedKey(
                 client, KEY, b"serving", 60, random.Random(1), is_contended=False
             )
             with trio.move_on_after(5):
-                await held.run()
-            self.assertTrue(held.is_held())
+                await leased_key.run()
+            self.assertTrue(leased_key.is_held())
             kinds = {kind for _, kind in platform.calls}
             item = await client.read_key(KEY)
-            self.assertEqual(item.create_revision, held.fencing)
+            self.assertEqual(item.create_revision, leased_key.fencing)
             return kinds, {kind for _, kind in platform.calls}
 
         before, after = trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
-        self.assertEqual(1, len(after - before), "a read was made before")
+        self.assertEqual(1, len(after - before), "acquiring the key made a read")
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -1,4 +1,4 @@
-"""Leases whose calls get lost, and the budget of calls."""
+"""Tests of leases whose calls are lost, and of the rate limit of calls."""
 
 import random
 import unittest
@@ -18,39 +18,42 @@
 
 
 class LeaseTest(unittest.TestCase):
-    async def lost(self, kind, **faults):
-        """A holder meets one lost call; return it after it had time to recover."""
+    async def assert_recovers_from(self, kind, **faults):
+        """Assert that a holder whose calls of a kind are lost holds the key in the end.
+
+        :param faults: fields of the client's faults, with the number of lost calls
+        """
         platform = memory.MemoryPlatform()
-        held = new_lease(platform, "entry-0")
-        found = platform.faults["entry-0"]
-        found.lose_kinds = (kind,)
+        leased_key = new_lease(platform, "entry-0")
+        injected_faults = platform.faults["entry-0"]
+        injected_faults.lose_kinds = (kind,)
         for name, count in faults.items():
-            setattr(found, name, count)
+            setattr(injected_faults, name, count)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(held.run)
+            nursery.start_soon(leased_key.run)
             await trio.sleep(3 * TTL_S)
-            self.assertTrue(held.is_held())
+            self.assertTrue(leased_key.is_held())
             item = await platform.client("reader").read_key(KEY)
-            self.assertEqual(held.fencing, item.create_revision)
+            self.assertEqual(leased_key.fencing, item.create_revision)
             nursery.cancel_scope.cancel()
 
     @support.on_test_clock
-    async def test_lost_grant_is_made_up_for(self):
-        await self.lost("lease/grant", lose_answers=1)
-        await self.lost("lease/grant", lose_requests=1)
+    async def test_lost_grant_is_retried(self):
+        await self.assert_recovers_from("lease/grant", lose_answers=1)
+        await self.assert_recovers_from("lease/grant", lose_requests=1)
 
     @support.on_test_clock
-    async def test_lost_put_is_resolved_by_reading_back(self):
-        await self.lost("kv/txn", lose_answers=1)
-        await self.lost("kv/txn", lose_requests=1)
+    async def test_lost_put_is_resolved_by_a_read(self):
+        await self.assert_recovers_from("kv/txn", lose_answers=1)
+        await self.assert_recovers_from("kv/txn", lose_requests=1)
 
     @support.on_test_clock
-    async def test_lost_renewals_cost_the_key_only_when_its_time_is_over(self):
-        await self.lost("lease/keepalive", lose_answers=2)
+    async def test_key_survives_lost_renewals_within_its_ttl(self):
+        await self.assert_recovers_from("lease/keepalive", lose_answers=2)
 
     @support.on_test_clock
-    async def test_holder_that_cannot_renew_stops_believing_before_the_next_one_starts(self):
-        # The holder's calls are swallowed. At no moment may two believe that they hold the key.
+    async def test_lease_expires_for_its_holder_before_another_client_acquires_it(self):
+        # The holder's calls get no response. At no time may two clients consider the key their own.
         platform = memory.MemoryPlatform()
         first, second = new_lease(platform, "entry-0"), new_lease(platform, "entry-1")
         async with trio.open_nursery() as nursery:
@@ -67,26 +70,26 @@
             nursery.cancel_scope.cancel()
 
     @support.on_test_clock
-    async def test_restarted_entry_waits_for_its_predecessors_lease_and_shows_its_own_boot(self):
-        # The process is killed and a new one of the same name starts while the old lease lives.
-        # The old record is not its own; peers know the new process before the record does.
+    async def test_restarted_entry_shows_its_own_boot_and_waits_for_the_old_lease(self):
+        # The process is killed, and a new one of the same name starts before the old lease expires.
+        # The stored record is still that of the old process, but peers must see the new one's boot.
         async with support.running() as site:
             await trio.sleep(3)
             await site.kill("entry-2")
             await site.start("entry-2")
             await trio.sleep(3)
             boot = site.app("entry-2").roster.own.boot
-            known = {each.entry: each.boot for each in site.app("entry-0").roster.members()}
-            self.assertEqual(boot, known["entry-2"])
+            boots = {entry.entry: entry.boot for entry in site.app("entry-0").roster.members()}
+            self.assertEqual(boot, boots["entry-2"])
             await trio.sleep(8)
             self.assertTrue(site.app("entry-2").entry_lease.is_held())
 
 
 class BudgetTest(unittest.TestCase):
     @support.on_test_clock
-    async def test_entries_that_wait_for_a_lease_cost_one_call_at_a_time(self):
-        # Six of seven entries wait for the planner's lease day and night. Taking their chance by
-        # a write each time was most of what an idle system asked of the service.
+    async def test_waiting_for_a_held_lease_costs_one_read_per_attempt(self):
+        # Six of seven entries always wait for the planner's lease. When each attempt was a write,
+        # these made up most of an idle system's calls to the service.
         platform = memory.MemoryPlatform()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(new_lease(platform, "entry-0").run)
@@ -99,36 +102,36 @@
         self.assertLess(calls["kv/range"], 130)
 
     @support.on_test_clock
-    async def test_calls_are_held_to_the_rate_and_leases_go_first(self):
-        # Reads come without a pause. The service must see no more than the budget, and the
-        # refused ones certainly had no effect; renewals pass in the midst of it.
+    async def test_reads_are_rate_limited_and_lease_calls_are_not_delayed(self):
+        # Reads are made without a pause. The service must get no more than the rate allows, refused
+        # reads must have no effect, and a renewal in between must not wait.
         platform = memory.MemoryPlatform()
         client = budget.BudgetedClient(platform.client("entry-0"), 10, 10)
-        granted = await client.grant_lease(60)
-        done = [0]
+        lease_id = await client.grant_lease(60)
+        completed_reads = [0]
 
-        async def read_on():
+        async def read_repeatedly():
             while True:
                 try:
                     await client.read("toucanhold/")
-                    done[0] += 1
+                    completed_reads[0] += 1
                 except keyvalue.UnavailableError:
                     await trio.sleep(0.01)
 
         with trio.move_on_after(10):
             async with trio.open_nursery() as nursery:
                 for _ in range(20):
-                    nursery.start_soon(read_on)
+                    nursery.start_soon(read_repeatedly)
                 await trio.sleep(5)
                 before_s = trio.current_time()
-                self.assertTrue(await client.keep_alive(granted))
+                self.assertTrue(await client.keep_alive(lease_id))
                 self.assertEqual(before_s, trio.current_time())
-        self.assertLessEqual(done[0], 10 * 10 + 10)
-        self.assertGreaterEqual(done[0], 10 * 10 - 10)
+        self.assertLessEqual(completed_reads[0], 10 * 10 + 10)
+        self.assertGreaterEqual(completed_reads[0], 10 * 10 - 10)
         self.assertGreater(client.refused["read"], 0)
 
     @support.on_test_clock
-    async def test_slow_service_slows_no_request(self):
+    async def test_slow_service_does_not_delay_requests(self):
         async with support.running() as site:
             await support.apply(site)
             await trio.sleep(5)
@@ -143,8 +146,8 @@
             self.assertLess(trio.current_time() - before_s, 0.1)
 
     @support.on_test_clock
-    async def test_compacted_history_is_made_up_for_by_a_read(self):
-        # The entry was cut off for so long that the changes it missed are no longer kept.
+    async def test_compacted_history_is_recovered_by_a_read(self):
+        # The entry was disconnected for so long that the changes it missed were compacted.
         async with support.running(("entry-0",)) as site:
             await trio.sleep(1)
             site.platform.set_mode("down", "entry-0")
--- a/tests/test_platform_requirements.py
+++ b/tests/test_platform_requirements.py
@@ -1,4 +1,4 @@
-"""What the platform installs is what the package needs."""
+"""Tests that the files that the platform installs and deploys from match the package."""
 
 import pathlib
 import tomllib
@@ -8,7 +8,7 @@
 
 
 class RequirementsTest(unittest.TestCase):
-    def test_both_lists_agree(self):
+    def test_requirements_file_lists_the_dependencies(self):
         project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
         lines = (ROOT / "requirements.txt").read_text().split()
         self.assertEqual(project["dependencies"], lines)
