--- a/tests/platform/test_platform_calls.py
+++ b/tests/platform/test_platform_calls.py
@@ -1,4 +1,4 @@
-"""Requests of callers through the HTTP face to a server, over real connections."""
+"""Tests of requests and orders to backend servers over real HTTP connections."""
 
 import functools
 import unittest
@@ -24,21 +24,21 @@
 ]
 
 
-def with_path(function):
-    """Run a test with a server and an entry's face before it."""
+def with_server_and_entry(function):
+    """Run a test with a backend server and an entry that forwards requests to it."""
 
     @functools.wraps(function)
     def run(self):
         async def main():
-            worker = standins.WorkerApp()
-            async with standins.served(worker) as address:
+            server_app = standins.WorkerApp()
+            async with standins.served(server_app) as address:
                 server = attrs.evolve(gateways.new_servers(1)["b0"], address=address)
                 scene = gateways.GatewayScene({"b0": server})
                 scene.gateway.servers = servers.PlatformServerClient()
                 app = front.FrontApp(scene.gateway, metrics.Metrics("e"), lambda: False)
                 async with scene.running(), standins.served(app) as entry:
                     with trio.fail_after(20):
-                        await function(self, scene, worker, entry)
+                        await function(self, scene, server_app, entry)
 
         trio.run(main)
 
@@ -46,107 +46,113 @@
 
 
 class PathTest(unittest.TestCase):
-    @with_path
-    async def test_request_and_answer_pass_unchanged(self, scene, worker, entry):
-        status, found, body = await standins.ask(
+    @with_server_and_entry
+    async def test_request_and_answer_are_forwarded_unchanged(self, scene, server_app, entry):
+        status, answer_headers, body = await standins.ask(
             entry, "POST", "/orders/a%20b?x=1", HEADERS, b"payload"
         )
         self.assertEqual((200, b"answer"), (status, body))
-        self.assertEqual("seal-1", found["x-server-seal"])
-        scope, lines, payload = worker.requests[0]
+        self.assertEqual("seal-1", answer_headers["x-server-seal"])
+        scope, request_headers, payload = server_app.requests[0]
         self.assertEqual((b"/orders/a%20b", b"x=1"), (scope["raw_path"], scope["query_string"]))
         self.assertEqual(b"payload", payload)
-        self.assertEqual("b0", lines["x-target-instance"])
-        self.assertEqual("m0", lines["x-model"])
-        self.assertNotIn("x-credential", lines)
-        self.assertNotIn("x-tenant", lines)
+        self.assertEqual("b0", request_headers["x-target-instance"])
+        self.assertEqual("m0", request_headers["x-model"])
+        self.assertNotIn("x-credential", request_headers)
+        self.assertNotIn("x-tenant", request_headers)
         # The route's timeout is shorter than the caller's wait.
-        self.assertLessEqual(int(lines["x-deadline-remaining-ms"]), 1200)
+        self.assertLessEqual(int(request_headers["x-deadline-remaining-ms"]), 1200)
 
-    @with_path
-    async def test_failure_of_a_server_keeps_its_status_and_signature(self, scene, worker, entry):
-        async def fail(lines, receive, send):
-            await asgi.respond(send, 500, worker.seal(lines), b"broken")
+    @with_server_and_entry
+    async def test_error_of_a_server_keeps_its_status_and_signature(self, scene, server_app, entry):
+        async def fail(request_headers, receive, send):
+            await asgi.respond(send, 500, server_app.seal(request_headers), b"broken")
 
-        worker.answer = fail
-        status, found, body = await standins.ask(entry, "POST", "/orders/1", HEADERS)
-        self.assertEqual((500, "seal-1", b"broken"), (status, found["x-server-seal"], body))
+        server_app.answer = fail
+        status, answer_headers, body = await standins.ask(entry, "POST", "/orders/1", HEADERS)
+        self.assertEqual(
+            (500, "seal-1", b"broken"), (status, answer_headers["x-server-seal"], body)
+        )
 
-    @with_path
-    async def test_refusals_bear_no_signature_and_tell_when_to_come_back(
-        self, scene, worker, entry
+    @with_server_and_entry
+    async def test_refusals_have_a_retry_after_header_and_no_signature(
+        self, scene, server_app, entry
     ):
-        async def refuse(lines, receive, send):
-            await asgi.respond(send, 503, [*worker.seal(lines), (b"x-not-executed", b"1")], b"")
+        async def refuse(request_headers, receive, send):
+            await asgi.respond(
+                send, 503, [*server_app.seal(request_headers), (b"x-not-executed", b"1")], b""
+            )
 
-        worker.answer = refuse
-        status, found, _ = await standins.ask(entry, "POST", "/orders/1", HEADERS)
+        server_app.answer = refuse
+        status, answer_headers, _ = await standins.ask(entry, "POST", "/orders/1", HEADERS)
         self.assertEqual(503, status)
-        self.assertNotIn("x-server-seal", found)
-        self.assertGreater(float(found["retry-after"]), 0)
+        self.assertNotIn("x-server-seal", answer_headers)
+        self.assertGreater(float(answer_headers["retry-after"]), 0)
 
-    @with_path
-    async def test_success_without_a_signature_is_no_answer(self, scene, worker, entry):
-        async def forge(lines, receive, send):
+    @with_server_and_entry
+    async def test_success_without_a_signature_is_not_forwarded(self, scene, server_app, entry):
+        async def forge(request_headers, receive, send):
             await asgi.respond(send, 200, [], b"not the server's")
 
-        worker.answer = forge
+        server_app.answer = forge
         status, _, body = await standins.ask(entry, "POST", "/orders/1", HEADERS)
         self.assertEqual(502, status)
         self.assertNotIn(b"not the server's", body)
 
-    @with_path
-    async def test_answer_to_another_request_is_no_answer(self, scene, worker, entry):
-        async def cross(lines, receive, send):
-            await asgi.respond(send, 200, worker.seal({"x-attempt-id": "other"}), b"crossed")
+    @with_server_and_entry
+    async def test_answer_to_another_request_is_not_forwarded(self, scene, server_app, entry):
+        async def cross(request_headers, receive, send):
+            await asgi.respond(send, 200, server_app.seal({"x-attempt-id": "other"}), b"crossed")
 
-        worker.answer = cross
+        server_app.answer = cross
         status, _, body = await standins.ask(entry, "POST", "/orders/1", HEADERS)
         self.assertEqual(502, status)
         self.assertNotIn(b"crossed", body)
 
-    @with_path
-    async def test_unknown_routes_are_told_so(self, scene, worker, entry):
+    @with_server_and_entry
+    async def test_unknown_routes_get_404(self, scene, server_app, entry):
         status, _, _ = await standins.ask(entry, "GET", "/nowhere/1", HEADERS)
         self.assertEqual(404, status)
 
 
-class LeavingTest(unittest.TestCase):
-    @with_path
-    async def test_server_works_no_longer_for_a_caller_who_has_left(self, scene, worker, entry):
-        async def stream(lines, receive, send):
-            head = [*worker.seal(lines), (b"content-type", b"text/event-stream")]
+class DisconnectTest(unittest.TestCase):
+    @with_server_and_entry
+    async def test_request_at_the_server_ends_when_its_caller_disconnects(
+        self, scene, server_app, entry
+    ):
+        async def stream(request_headers, receive, send):
+            head = [*server_app.seal(request_headers), (b"content-type", b"text/event-stream")]
             await asgi.start(send, 200, head)
             with trio.CancelScope() as scope:
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._cancel_when_gone, receive, scope)
+                    nursery.start_soon(self._cancel_on_disconnect, receive, scope)
                     for number in range(1, 1000):
                         await asgi.write(send, f"id: {number}\ndata: x\n\n".encode(), True)
                         await trio.sleep(0.02)
 
-        worker.answer = stream
-        await self._ask_and_leave(entry)
+        server_app.answer = stream
+        await self._ask_and_disconnect(entry)
         with trio.fail_after(0.5):
-            while worker.active:
+            while server_app.active:
                 await trio.sleep(0.01)
 
-    @with_path
-    async def test_callers_who_leave_at_any_moment_end_only_their_own_requests(
-        self, scene, worker, entry
+    @with_server_and_entry
+    async def test_callers_that_disconnect_at_any_time_end_only_their_own_requests(
+        self, scene, server_app, entry
     ):
-        """Guards against one caller who leaves and costs every other its connection."""
+        """Guards against a caller whose disconnect closes the connections of all other callers."""
         async with trio.open_nursery() as nursery:
             for number in range(60):
-                nursery.start_soon(self._ask_and_leave, entry, number / 4000)
+                nursery.start_soon(self._ask_and_disconnect, entry, number / 4000)
         status, _, _ = await standins.ask(entry, "POST", "/orders/1", HEADERS)
         self.assertEqual(200, status)
 
-    async def _cancel_when_gone(self, receive, scope):
+    async def _cancel_on_disconnect(self, receive, scope):
         while (await receive())["type"] != "http.disconnect":
             pass
         scope.cancel()
 
-    async def _ask_and_leave(self, entry, after_s=0.1):
+    async def _ask_and_disconnect(self, entry, after_s=0.1):
         host, port = entry.split(":")
         connection = h11.Connection(h11.CLIENT)
         request = h11.Request(method="GET", target="/streams/1", headers=HEADERS)
@@ -156,32 +162,33 @@
 
 
 class OrderTest(unittest.TestCase):
-    @with_path
-    async def test_orders_carry_the_count_that_must_hold(self, scene, worker, entry):
+    @with_server_and_entry
+    async def test_orders_carry_the_expected_order_count(self, scene, server_app, entry):
         client = servers.PlatformServerClient()
         server = scene.registered["b0"]
         join = orders.Join("g1", 5, "m0", ("b0", "b1"))
         self.assertIs(orders.OrderOutcome.BEGUN, await client.send(server, join, 0, 9))
         self.assertIs(orders.OrderOutcome.REFUSED, await client.send(server, join, 0, 9))
         self.assertEqual(1, (await client.look(server)).order_count)
-        plain = worker.orders[0]
+        order_fields = server_app.orders[0]
         self.assertEqual(
-            ("join", "g1", 5, 9), tuple(plain[x] for x in ("op", "group", "epoch", "fence"))
+            ("join", "g1", 5, 9),
+            tuple(order_fields[name] for name in ("op", "group", "epoch", "fence")),
         )
         close = orders.Close("g1", 5, finishes_work=False)
         await client.send(server, close, 1, 9)
-        self.assertEqual("abort", worker.orders[-1]["mode"])
+        self.assertEqual("abort", server_app.orders[-1]["mode"])
 
     def test_server_that_does_not_listen_is_unreachable(self):
         async def main():
             server = gateways.new_servers(1)["b0"]
-            gone = attrs.evolve(server, address=standins.free_address())
+            stopped_server = attrs.evolve(server, address=standins.free_address())
             client = servers.PlatformServerClient()
-            outcome = await client.send(gone, orders.Leave("g1", 1), 0, 1)
+            outcome = await client.send(stopped_server, orders.Leave("g1", 1), 0, 1)
             self.assertIs(orders.OrderOutcome.UNREACHABLE, outcome)
             with self.assertRaises(calls.NotRunError) as caught:
                 forwarded = calls.Forwarded(gateways.new_call("/"), "", 1.0, None, False)
-                async with client.exchange(gone, forwarded):
+                async with client.exchange(stopped_server, forwarded):
                     pass
             self.assertTrue(caught.exception.is_gone)
 
--- a/tests/test_lease_release.py
+++ b/tests/test_lease_release.py
@@ -58,4 +58,4 @@
             return kinds, {kind for _, kind in platform.calls}
 
         before, after = trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
-        self.assertEqual(1, len(after - before), "acquiring the key made a read")
+        self.assertEqual(1, len(after - before), "a read was made before")
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Changes of the key-value service, passed on from entry to entry."""
+"""Tests of relaying changes of the key-value service between entries."""
 
 import functools
 import random
@@ -13,13 +13,13 @@
 from toucanhold.gateway import entries, hierarchy
 from toucanhold.relay import following, messages, publishing
 
-# Servers that leave are to get nothing later than this after the service has said so.
+# Time from a server's state change in the service until no request may be sent to the server.
 DRAIN_S = 2.0
 
 
 @attrs.define(eq=False, slots=False)
 class Node:
-    """The half of one entry that follows the service."""
+    """The components of one entry that keep its mirror up to date and publish it."""
 
     name: str
     site: "Site"
@@ -52,7 +52,7 @@
 
 @attrs.define(eq=False, slots=False)
 class Site:
-    """A store in memory, one entry that watches it in each of two zones, and two that follow."""
+    """An in-memory store, two entries that watch it, and two entries that follow these."""
 
     nursery: trio.Nursery
 
@@ -73,7 +73,7 @@
     async def start(self):
         for node in self.nodes.values():
             self.nursery.start_soon(node.run)
-        # At first nobody has anything to pass on; they look for others after two seconds.
+        # At first no entry has anything to publish; the followers retry after two seconds.
         await trio.sleep(4)
 
     async def write(self, key, value=b"x"):
@@ -88,7 +88,7 @@
 
 
 def with_site(function):
-    """Run a test method with a site whose entries follow each other, on the test clock."""
+    """Run a test method with a started site, on the test clock."""
 
     @clocked.on_test_clock
     @functools.wraps(function)
@@ -104,38 +104,38 @@
 
 class RelayTest(unittest.TestCase):
     @with_site
-    async def test_followers_hear_of_changes_without_calls_of_their_own(self, site):
-        before = site["f1"].calls(), site["r1"].calls()
+    async def test_followers_receive_changes_without_calls_to_the_service(self, site):
+        calls_before = site["f1"].calls(), site["r1"].calls()
         for number in range(20):
             await site.write(f"things/{number}")
             await trio.sleep(0.3)
         await site.write("things/3", None)
         await site.seconds_until(lambda: not site["f1"].has("things/3"), 0.5)
         self.assertEqual(site["r1"].mirror.items, site["f1"].mirror.items)
-        self.assertEqual(before[0], site["f1"].calls())
-        self.assertLess(before[1] + 20, site["r1"].calls())
+        self.assertEqual(calls_before[0], site["f1"].calls())
+        self.assertLess(calls_before[1] + 20, site["r1"].calls())
         self.assertTrue(site["f1"].mirror.is_answering)
 
     @with_site
-    async def test_an_entry_that_is_turned_away_by_the_service_is_left_in_time(self, site):
+    async def test_source_that_lost_the_service_is_left_in_time(self, site):
         """Guards against requests to a server that left while the source had lost the service."""
         site.platform.set_mode("silent", "r1")
         await site.write("things/leaving")
-        took_s = await site.seconds_until(lambda: site["f1"].has("things/leaving"), DRAIN_S)
-        self.assertLess(took_s, DRAIN_S - 0.3)
+        elapsed_s = await site.seconds_until(lambda: site["f1"].has("things/leaving"), DRAIN_S)
+        self.assertLess(elapsed_s, DRAIN_S - 0.3)
         self.assertFalse(site["f1"].follower.is_watching)
 
     @with_site
-    async def test_a_cut_between_entries_is_noticed_by_silence(self, site):
-        """No byte passes between a follower and its source, and no error tells so."""
+    async def test_partition_between_entries_is_detected_by_a_timeout(self, site):
+        """Guards against a stale mirror when packets from the source are dropped silently."""
         site.network.cut("f1", "r1")
         await site.write("things/new")
-        took_s = await site.seconds_until(lambda: site["f1"].has("things/new"), DRAIN_S)
-        self.assertLess(took_s, 1.2)
+        elapsed_s = await site.seconds_until(lambda: site["f1"].has("things/new"), DRAIN_S)
+        self.assertLess(elapsed_s, 1.2)
 
     @with_site
-    async def test_an_entry_without_others_watches_for_itself(self, site):
-        """Guards against a copy that grows old though the service answers."""
+    async def test_entry_that_reaches_no_source_watches_the_service(self, site):
+        """Guards against a stale mirror although the service answers."""
         site.network.isolate("f1", site.nodes)
         await site.write("things/new")
         await site.seconds_until(lambda: site["f1"].has("things/new"), DRAIN_S)
@@ -146,8 +146,8 @@
         await site.seconds_until(lambda: site["f1"].has("things/newer"), 0.5)
 
     @with_site
-    async def test_an_outage_of_the_service_is_known_to_all_and_so_is_its_end(self, site):
-        """Guards against followers that believe what lapsed in an outage."""
+    async def test_followers_learn_of_an_outage_and_of_its_end(self, site):
+        """Guards against followers that remove servers whose registrations expired in an outage."""
         site.platform.set_mode("down")
         await site.seconds_until(lambda: not site["f2"].mirror.is_answering, DRAIN_S)
         await trio.sleep(5)
@@ -156,31 +156,31 @@
         self.assertLess(site["f2"].mirror.since_failure_s, 3)
 
     @with_site
-    async def test_looks_for_a_source_in_an_outage_leave_no_streams_behind(self, site):
-        """Guards against dozens of streams left open by looks for a source."""
+    async def test_retries_of_sources_in_an_outage_leave_no_open_streams(self, site):
+        """Guards against dozens of streams left open by attempts to find a source."""
         site.platform.set_mode("down")
         await trio.sleep(20)
         open_streams = sum(not stream.is_closed for stream in site.network.streams())
-        # Both ends of at most the two streams of a look that is under way at each follower.
+        # Both ends of at most two streams, for the attempt in progress at each of two followers.
         self.assertLessEqual(open_streams, 8)
 
     @with_site
-    async def test_an_entry_that_was_away_for_long_gets_everything_anew(self, site):
+    async def test_entry_behind_the_history_gets_a_snapshot(self, site):
         site["f1"].scope.cancel()
         for number in range(mirror.HISTORY_BATCHES + 5):
             await site.write("often", str(number).encode())
             await trio.sleep(0.15)
         await site.write("things/gone")
         await trio.sleep(0.3)
-        late = Node("f3", site, ["r1"])
-        # What it knows is older than what the source remembers.
-        late.mirror.replace(keyvalue.RangeResult(2, (keyvalue.Item("old", b"x", 1, 2),)))
-        site.nursery.start_soon(late.run)
+        late_node = Node("f3", site, ["r1"])
+        # Its revision is older than the source's history.
+        late_node.mirror.replace(keyvalue.RangeResult(2, (keyvalue.Item("old", b"x", 1, 2),)))
+        site.nursery.start_soon(late_node.run)
         await trio.sleep(0.5)
-        self.assertEqual(site["r1"].mirror.items, late.mirror.items)
+        self.assertEqual(site["r1"].mirror.items, late_node.mirror.items)
 
     @with_site
-    async def test_bytes_of_a_stranger_end_only_its_own_stream(self, site):
+    async def test_invalid_message_ends_only_its_own_stream(self, site):
         stream = await site.network.transport("stranger").connect("r1")
         body = b"no message"
         await stream.send_all(len(body).to_bytes(4) + body)
@@ -189,7 +189,7 @@
         await site.seconds_until(lambda: site["f1"].has("things/new"), 0.5)
 
     @with_site
-    async def test_who_becomes_first_of_its_zone_watches_the_service(self, site):
+    async def test_entry_that_becomes_first_of_its_zone_watches_the_service(self, site):
         site["r1"].scope.cancel()
         site["f1"].sources = []
         site["f2"].sources = ["f1", "r2"]
@@ -205,95 +205,95 @@
         items = (keyvalue.Item("a", b"1", 1, 1), keyvalue.Item("b", b"1", 2, 5))
         self.mirror.replace(keyvalue.RangeResult(4, items))
 
-    def test_changes_that_overlap_what_is_known_do_no_harm(self):
+    def test_overlapping_changes_do_not_restore_old_values(self):
         newer = mirror.Changes(4, 9, (keyvalue.Item("a", b"2", 1, 9),))
         self.mirror.apply(newer)
         older = mirror.Changes(3, 8, (keyvalue.Item("a", b"1", 1, 8),))
         self.mirror.apply(older)
         self.assertEqual(b"2", self.mirror.items["a"].value)
 
-    def test_changes_after_a_gap_are_not_taken(self):
+    def test_changes_after_a_gap_are_ignored(self):
         self.mirror.apply(mirror.Changes(7, 9, (keyvalue.Item("a", b"2", 1, 9),)))
         self.assertEqual((4, b"1"), (self.mirror.revision, self.mirror.items["a"].value))
 
-    def test_an_old_deletion_does_not_take_a_later_item(self):
+    def test_old_deletion_does_not_remove_a_newer_item(self):
         self.mirror.apply(mirror.Changes(4, 6, (), (mirror.Deletion("b", 4),)))
         self.assertIn("b", self.mirror.items)
 
-    def test_changes_since_merge_what_came_and_went(self):
+    def test_changes_since_a_revision_are_merged(self):
         self.mirror.apply(mirror.Changes(4, 6, (keyvalue.Item("c", b"1", 6, 6),)))
         self.mirror.apply(mirror.Changes(6, 7, (), (mirror.Deletion("c", 7),)))
         self.mirror.apply(mirror.Changes(7, 8, (keyvalue.Item("a", b"2", 1, 8),)))
-        found = self.mirror.changes_since(5)
-        self.assertEqual((5, 8), (found.after, found.revision))
-        self.assertEqual(["a"], [item.key for item in found.items])
-        self.assertEqual(["c"], [deletion.key for deletion in found.deleted])
+        changes = self.mirror.changes_since(5)
+        self.assertEqual((5, 8), (changes.after, changes.revision))
+        self.assertEqual(["a"], [item.key for item in changes.items])
+        self.assertEqual(["c"], [deletion.key for deletion in changes.deleted])
         self.assertIsNone(self.mirror.changes_since(3))
 
 
-class OneWatchTest(unittest.TestCase):
-    """Zones that follow the planner, which alone watches the service."""
+class PlannerWatchTest(unittest.TestCase):
+    """Availability zones that follow the planner, which alone watches the service."""
 
     def _chain(self, site):
         site["r2"].sources[:] = ["r1"]
         site["f2"].sources[:] = ["r2", "r1"]
 
     @with_site
-    async def test_zones_that_follow_the_planner_make_no_calls(self, site):
-        """Guards against calls for each change that grow with the availability zones."""
+    async def test_zones_that_follow_the_planner_make_no_calls_to_the_service(self, site):
+        """Guards against a number of calls per change that grows with the availability zones."""
         self._chain(site)
         await trio.sleep(5)
-        before = site["r2"].calls(), site["f2"].calls()
+        calls_before = site["r2"].calls(), site["f2"].calls()
         for number in range(10):
             await site.write(f"things/{number}")
             await trio.sleep(0.3)
         await site.seconds_until(lambda: site["f2"].has("things/9"), 0.5)
-        self.assertEqual(before, (site["r2"].calls(), site["f2"].calls()))
+        self.assertEqual(calls_before, (site["r2"].calls(), site["f2"].calls()))
 
     @with_site
-    async def test_a_planner_that_is_turned_away_is_left_in_time(self, site):
+    async def test_planner_that_lost_the_service_is_left_in_time(self, site):
         """Guards against requests to a server that left while only the planner watched."""
         self._chain(site)
         await trio.sleep(5)
         site.platform.set_mode("silent", "r1")
         await site.write("things/leaving")
-        took_s = await site.seconds_until(lambda: site["f2"].has("things/leaving"), DRAIN_S)
-        self.assertLess(took_s, DRAIN_S - 0.3)
+        elapsed_s = await site.seconds_until(lambda: site["f2"].has("things/leaving"), DRAIN_S)
+        self.assertLess(elapsed_s, DRAIN_S - 0.3)
 
     @with_site
-    async def test_a_planner_behind_a_cut_is_left_in_time(self, site):
-        """Guards against a zone that learns nothing because it cannot reach the planner's zone."""
+    async def test_planner_behind_a_partition_is_left_in_time(self, site):
+        """Guards against a stale zone that cannot reach the planner's zone."""
         self._chain(site)
         await trio.sleep(5)
         site.network.cut("r1", "r2")
         await site.write("things/leaving")
-        took_s = await site.seconds_until(lambda: site["f2"].has("things/leaving"), DRAIN_S)
-        self.assertLess(took_s, DRAIN_S - 0.3)
+        elapsed_s = await site.seconds_until(lambda: site["f2"].has("things/leaving"), DRAIN_S)
+        self.assertLess(elapsed_s, DRAIN_S - 0.3)
         self.assertTrue(site["r2"].follower.is_watching)
 
     @clocked.on_test_clock
-    async def test_an_entry_that_finds_a_source_pays_for_no_watch(self):
-        """Guards against a call an entry when all of a site start at once."""
+    async def test_entry_that_finds_a_source_makes_no_watch_call(self):
+        """Guards against one more paid call per entry when all entries of a site start at once."""
         async with trio.open_nursery() as nursery:
             site = Site(nursery)
             await site.start()
-            late = Node("late", site)
-            site.nodes["late"] = late
+            late_node = Node("late", site)
+            site.nodes["late"] = late_node
 
-            def note(keys):
-                late.sources[:] = ["r1"]
+            def add_source(keys):
+                late_node.sources[:] = ["r1"]
 
-            late.mirror.add_listener("", note)
+            late_node.mirror.add_listener("", add_source)
             await site.write("things/first")
-            nursery.start_soon(late.run)
+            nursery.start_soon(late_node.run)
             await trio.sleep(3)
-            self.assertEqual(1, late.calls())
-            self.assertFalse(late.follower.is_watching)
+            self.assertEqual(1, late_node.calls())
+            self.assertFalse(late_node.follower.is_watching)
             nursery.cancel_scope.cancel()
 
 
 class MessagesTest(unittest.TestCase):
-    def test_messages_come_back_as_they_went(self):
+    def test_messages_survive_encoding_and_decoding(self):
         items = tuple(keyvalue.Item(f"k{n}", b"value" * 20, n, n, 7) for n in range(50))
         for message in (
             messages.Subscribe(7),
@@ -303,7 +303,7 @@
         ):
             self.assertEqual(message, messages.decode(messages.encode(message)))
 
-    def test_other_bytes_are_refused(self):
+    def test_invalid_bodies_are_refused(self):
         for body in (
             b"",
             b"z",
@@ -316,7 +316,7 @@
 
 
 class HierarchyTest(unittest.TestCase):
-    """Each change costs calls for those that watch, however many entries there are."""
+    """Each change costs calls only for the entries that watch the service, which must be few."""
 
     def _entries(self, count, zones):
         return [
@@ -324,46 +324,50 @@
             for n in range(count)
         ]
 
-    def _sources(self, known, planner=""):
+    def _sources(self, all_entries, planner=""):
         return {
             own.exchange_address: hierarchy.sources(
-                own, [each for each in known if each != own], planner
+                own, [each for each in all_entries if each != own], planner
             )
-            for own in known
+            for own in all_entries
         }
 
-    def test_one_entry_a_zone_watches_and_everyone_reaches_it(self):
+    def test_one_entry_per_zone_watches_and_all_others_reach_it(self):
         for count, zones in ((1, 1), (7, 3), (60, 4), (390, 11)):
-            found = self._sources(self._entries(count, zones))
-            watching_now = [address for address, sources in found.items() if not sources]
-            self.assertEqual(zones, len(watching_now))
-            for address in found:
+            sources_by_address = self._sources(self._entries(count, zones))
+            watching_addresses = [
+                address for address, sources in sources_by_address.items() if not sources
+            ]
+            self.assertEqual(zones, len(watching_addresses))
+            for address in sources_by_address:
                 depth = 0
-                while found[address]:
-                    address = found[address][0]
+                while sources_by_address[address]:
+                    address = sources_by_address[address][0]
                     depth += 1
                 self.assertLessEqual(depth, 2)
 
-    def test_no_entry_is_followed_by_too_many(self):
-        found = self._sources(self._entries(390, 11))
-        first = [sources[0] for sources in found.values() if sources]
+    def test_number_of_followers_per_entry_is_bounded(self):
+        sources_by_address = self._sources(self._entries(390, 11))
+        first = [sources[0] for sources in sources_by_address.values() if sources]
         self.assertLessEqual(max(map(first.count, first)), hierarchy.FOLLOWERS)
 
-    def test_the_planner_watches_and_large_machines_go_first(self):
-        known = self._entries(60, 4)
-        found = self._sources(known, planner="e59")
-        self.assertEqual([], found["x59"])
-        self.assertTrue(all(found[f"x{n}"] for n in range(8, 59)))
+    def test_planner_and_large_machines_watch(self):
+        all_entries = self._entries(60, 4)
+        sources_by_address = self._sources(all_entries, planner="e59")
+        self.assertEqual([], sources_by_address["x59"])
+        self.assertTrue(all(sources_by_address[f"x{n}"] for n in range(8, 59)))
 
     def test_with_a_planner_the_other_zones_follow_it(self):
-        found = self._sources(self._entries(195, 5), planner="e7")
-        self.assertEqual(["x7"], [address for address, sources in found.items() if not sources])
-        self.assertEqual(4, sum(sources == ["x7"] for sources in found.values()))
-
-    def test_other_zones_come_after_the_own_one(self):
-        known = self._entries(60, 4)
-        zones = {entry.exchange_address: entry.zone for entry in known}
-        for own, sources in self._sources(known).items():
+        sources_by_address = self._sources(self._entries(195, 5), planner="e7")
+        self.assertEqual(
+            ["x7"], [address for address, sources in sources_by_address.items() if not sources]
+        )
+        self.assertEqual(4, sum(sources == ["x7"] for sources in sources_by_address.values()))
+
+    def test_sources_in_the_own_zone_come_first(self):
+        all_entries = self._entries(60, 4)
+        zones = {entry.exchange_address: entry.zone for entry in all_entries}
+        for own, sources in self._sources(all_entries).items():
             if sources:
                 self.assertEqual(zones[own], zones[sources[0]])
                 self.assertEqual(4, len({zones[address] for address in sources}))
