--- a/toucanhold/coordination/lease.py
+++ b/toucanhold/coordination/lease.py
@@ -105,9 +105,9 @@
         return item is not None and item.lease != self._lease
 
     async def _renew(self, fencing: int | None = None) -> None:
-        sent = clock.read()
+        renewal_sent_at = clock.read()
         if await self.client.keep_alive(self._lease):
-            self._renewed_at = sent
+            self._renewed_at = renewal_sent_at
             self.fencing = fencing or self.fencing
         else:
             self._lease, self.fencing = 0, 0
--- a/toucanhold/platform/configuration.py
+++ b/toucanhold/platform/configuration.py
@@ -35,10 +35,10 @@
 
 def _parse_route_table(fields: dict[str, typing.Any]) -> table.RouteTable:
     routes: dict[str, dict[str, table.Route]] = {}
-    for each in fields["routes"]:
-        route = _parse_route(each)
+    for route_fields in fields["routes"]:
+        route = _parse_route(route_fields)
         routes.setdefault(route.host, {})[route.prefix] = route
-    services = {each["name"]: _parse_service(each) for each in fields["services"]}
+    services = {service["name"]: _parse_service(service) for service in fields["services"]}
     tenants = fields.get("tenants") or []
     workspaces = {
         key: table.Workspace(tenant["name"], tenant.get("priority"))
@@ -59,7 +59,7 @@
     # A route names either one service or a weighted list of services.
     weighted_services = fields.get("split") or [{"service": fields["service"], "weight": 1}]
     shares = tuple(
-        table.ServiceShare(each["service"], each["weight"]) for each in weighted_services
+        table.ServiceShare(share["service"], share["weight"]) for share in weighted_services
     )
     is_stream = fields["kind"] == STREAMING
     timeout_s = fields["timeout_ms"] / 1000
@@ -98,7 +98,7 @@
 
 def _parse_engine(fields: dict[str, typing.Any]) -> table.Engine:
     return table.Engine(
-        models=tuple(_parse_model(each) for each in fields["models"]),
+        models=tuple(_parse_model(model) for model in fields["models"]),
         slots=int(fields["slots"]),
         memory_tokens=int(fields.get("kv_capacity") or 0),
         step_s=(fields.get("step_ms") or 0) / 1000,
--- a/toucanhold/platform/directory.py
+++ b/toucanhold/platform/directory.py
@@ -52,11 +52,11 @@
 
     def addresses(self, zone: str) -> list[str]:
         """Return up to ``MAX_ADDRESSES`` entry addresses for a caller in ``zone``, shuffled."""
-        entries_to_list = sharing.advertised(
+        listed_entries = sharing.advertised(
             sharing.near(self.entry_list.serving(), zone), zone, time.time()
         )
-        self.rng.shuffle(entries_to_list)
-        return [entry.callers_address for entry in entries_to_list[:MAX_ADDRESSES]]
+        self.rng.shuffle(listed_entries)
+        return [entry.callers_address for entry in listed_entries[:MAX_ADDRESSES]]
 
 
 @attrs.define(eq=False)
--- a/toucanhold/platform/front.py
+++ b/toucanhold/platform/front.py
@@ -12,8 +12,8 @@
 from toucanhold.gateway import calls, gateway
 from toucanhold.platform import headers
 
-# Deadline of a request without a deadline header.
-DEFAULT_WAIT_S = 30.0
+# Time allowed for a request without a deadline header.
+DEFAULT_TIMEOUT_S = 30.0
 BODY_LIMIT_BYTES = 64 * 1024 * 1024
 
 LOGGER = logging.getLogger(__name__)
@@ -56,13 +56,13 @@
     async def start(self, status: int, lines: calls.Headers, length_bytes: int | None) -> None:
         """See :class:`calls.Reply`."""
         self.status = status
-        sent = list(lines)
+        all_headers = list(lines)
         if length_bytes is not None:
-            sent.append((b"content-length", str(length_bytes).encode()))
+            all_headers.append((b"content-length", str(length_bytes).encode()))
         if self.is_closing:
-            sent.append((b"connection", b"close"))
+            all_headers.append((b"connection", b"close"))
         with _shielded():
-            await asgi.start(self.send_message, status, sent)
+            await asgi.start(self.send_message, status, all_headers)
 
     async def send(self, chunk: bytes) -> None:
         """See :class:`calls.Reply`."""
@@ -159,30 +159,31 @@
     :param scope: ASGI scope of the request
     :param arrived_s: time of trio's clock at which the request arrived
     """
-    lines = scope["headers"]
+    request_headers = scope["headers"]
     target = scope["raw_path"]
     path = target.decode("latin-1")
     if scope["query_string"]:
         target += b"?" + scope["query_string"]
-    last_event_id = headers.find(lines, headers.LAST_EVENT_ID)
+    last_event_id = headers.find(request_headers, headers.LAST_EVENT_ID)
     return calls.Call(
-        call_id=headers.find(lines, headers.CALL_ID),
+        call_id=headers.find(request_headers, headers.CALL_ID),
         method=scope["method"],
-        host=headers.find(lines, b"host").lower(),
+        host=headers.find(request_headers, b"host").lower(),
         path=path,
         target=target,
-        headers=headers.headers_to_forward(lines),
+        headers=headers.headers_to_forward(request_headers),
         body=body,
-        key=headers.find(lines, headers.API_KEY) or None,
+        key=headers.find(request_headers, headers.API_KEY) or None,
         arrived_s=arrived_s,
-        deadline_s=arrived_s + _parse_wait_s(headers.find(lines, headers.REMAINING_MS)),
-        model=headers.find(lines, headers.MODEL),
+        deadline_s=arrived_s
+        + _parse_remaining_s(headers.find(request_headers, headers.REMAINING_MS)),
+        model=headers.find(request_headers, headers.MODEL),
         last_event_id=int(last_event_id) if last_event_id.isdigit() else None,
     )
 
 
-def _parse_wait_s(text: str) -> float:
-    return int(text) / 1000 if text.isdigit() else DEFAULT_WAIT_S
+def _parse_remaining_s(text: str) -> float:
+    return int(text) / 1000 if text.isdigit() else DEFAULT_TIMEOUT_S
 
 
 async def _refuse(reply: HttpReply, error: calls.CallError) -> None:
@@ -190,11 +191,11 @@
     if error.has_run:
         # 503 would tell the caller that the request was not executed.
         status = 504 if error.reason is calls.RefusalReason.TOO_LATE else 502
-    lines = [(b"content-type", b"text/plain")]
+    reply_headers = [(b"content-type", b"text/plain")]
     if error.retry_after_s is not None and not error.has_run:
-        lines.append((b"retry-after", f"{error.retry_after_s:.2f}".encode()))
+        reply_headers.append((b"retry-after", f"{error.retry_after_s:.2f}".encode()))
     body = error.reason.value.encode()
-    await reply.start(status, lines, len(body))
+    await reply.start(status, reply_headers, len(body))
     await reply.send(body)
     await reply.finish()
 
--- a/toucanhold/platform/servers.py
+++ b/toucanhold/platform/servers.py
@@ -109,19 +109,19 @@
     async def _control_call(
         self, server: servers.Server, method: bytes, target: bytes, body: bytes
     ) -> tuple[int, bytes]:
-        lines = [
+        request_headers = [
             (b"host", server.address.encode()),
             (headers.TARGET_INSTANCE, server.server_id.encode()),
             (b"content-length", str(len(body)).encode()),
         ]
         if body:
-            lines.append((b"content-type", b"application/json"))
+            request_headers.append((b"content-type", b"application/json"))
         connection = await _connect(server.address, CONTROL_TIMEOUT_S)
         content = bytearray()
         try:
             with _translated_errors(server), trio.fail_after(CONTROL_TIMEOUT_S):
                 request = httpcore.Request(
-                    method, _url(server.address, target), headers=lines, content=body
+                    method, _url(server.address, target), headers=request_headers, content=body
                 )
                 response = await connection.handle_async_request(request)
                 async for chunk in response.aiter_stream():
@@ -166,7 +166,7 @@
 
 def _request(server: servers.Server, forwarded: calls.Forwarded) -> httpcore.Request:
     call = forwarded.call
-    lines = [
+    request_headers = [
         (b"host", call.host.encode()),
         *call.headers,
         (headers.CALL_ID, call.call_id.encode()),
@@ -174,13 +174,13 @@
         (headers.TARGET_INSTANCE, server.server_id.encode()),
     ]
     if call.body or call.method not in ("GET", "HEAD"):
-        lines.append((b"content-length", str(len(call.body)).encode()))
+        request_headers.append((b"content-length", str(len(call.body)).encode()))
     if forwarded.workspace:
-        lines.append((headers.WORKSPACE, forwarded.workspace.encode()))
+        request_headers.append((headers.WORKSPACE, forwarded.workspace.encode()))
     if forwarded.last_event_id is not None:
-        lines.append((headers.LAST_EVENT_ID, str(forwarded.last_event_id).encode()))
+        request_headers.append((headers.LAST_EVENT_ID, str(forwarded.last_event_id).encode()))
     return httpcore.Request(
-        call.method, _url(server.address, call.target), headers=lines, content=call.body
+        call.method, _url(server.address, call.target), headers=request_headers, content=call.body
     )
 
 
--- a/toucanhold/platform/store.py
+++ b/toucanhold/platform/store.py
@@ -234,12 +234,12 @@
 
 
 def _get_objects(response_fields: dict, name: str) -> list[dict]:
-    entries = response_fields.get(name)
-    if not isinstance(entries, list):
+    objects = response_fields.get(name)
+    if not isinstance(objects, list):
         raise keyvalue.IndeterminateError(
-            f"expected a list in {name}, got {type(entries).__name__}"
+            f"expected a list in {name}, got {type(objects).__name__}"
         )
-    return [fields for fields in entries if isinstance(fields, dict)]
+    return [fields for fields in objects if isinstance(fields, dict)]
 
 
 def _get_int(response_fields: dict, name: str) -> int:
