--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -7,7 +7,7 @@
 
 from standins import memory
 from tests import test_revisions as support
-from toucanhold.coordination import budget, keyvalue, lease
+from toucanhold.coordination import keyvalue, lease, rate_limit
 
 KEY = "toucanhold/key"
 TTL_S = 4
@@ -85,7 +85,7 @@
             self.assertTrue(site.app("entry-2").entry_lease.is_held())
 
 
-class BudgetTest(unittest.TestCase):
+class CallCostTest(unittest.TestCase):
     @support.on_test_clock
     async def test_waiting_for_a_held_lease_costs_one_read_per_attempt(self):
         # Six of seven entries always wait for the planner's lease. When each attempt was a write,
@@ -106,7 +106,7 @@
         # Reads are made without a pause. The service must get no more than the rate allows, refused
         # reads must have no effect, and a renewal in between must not wait.
         platform = memory.MemoryPlatform()
-        client = budget.BudgetedClient(platform.client("entry-0"), 10, 10)
+        client = rate_limit.RateLimitedClient(platform.client("entry-0"), 10, 10)
         lease_id = await client.grant_lease(60)
         completed_reads = [0]
 
--- a/toucanhold/coordination/budget.py
+++ b/toucanhold/coordination/rate_limit.py
@@ -16,7 +16,7 @@
 
 
 @attrs.define(eq=False)
-class BudgetedClient(keyvalue.KeyValueClient):
+class RateLimitedClient(keyvalue.KeyValueClient):
     """Forwards calls to another client at a bounded rate; a watch counts as one call.
 
     The service counts each call and serves all entries. Without the limit, one entry in a loop or
--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -14,7 +14,7 @@
 from toucanhold.callers import directory
 from toucanhold.callers import reading as callers_reading
 from toucanhold.configuration import holder, reading, store
-from toucanhold.coordination import budget, following, lease, vms
+from toucanhold.coordination import following, lease, rate_limit, vms
 from toucanhold.membership import facts, permit, roster
 from toucanhold.observing import poller, view
 from toucanhold.operators import app as operators_app
@@ -49,7 +49,7 @@
         own = self.settings
         self.rng = own.new_rng()
         self.metrics = metrics.Metrics(own.entry)
-        self.platform = budget.BudgetedClient(
+        self.platform = rate_limit.RateLimitedClient(
             self.outside.platform, own.platform_calls_per_s, 2 * own.platform_calls_per_s
         )
         self.backends = self.outside.backends
