--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -52,7 +52,7 @@
 
 @attrs.define(eq=False, slots=False)
 class Site:
-    """An in-memory store, two entries that watch it, and two entries that follow these."""
+    """An in-memory store, one watching entry in each of two zones, and two followers of these."""
 
     nursery: trio.Nursery
 
--- a/toucanhold/platform/front.py
+++ b/toucanhold/platform/front.py
@@ -189,7 +189,7 @@
 async def _refuse(reply: HttpReply, error: calls.CallError) -> None:
     status = STATUSES[error.reason]
     if error.has_run:
-        # 503 would tell the caller that the request was not executed.
+        # 503 would promise the caller that the request is never executed.
         status = 504 if error.reason is calls.RefusalReason.TOO_LATE else 502
     reply_headers = [(b"content-type", b"text/plain")]
     if error.retry_after_s is not None and not error.has_run:
--- a/toucanhold/platform/registrations.py
+++ b/toucanhold/platform/registrations.py
@@ -70,19 +70,19 @@
     )
 
 
-def _first_model(fields: typing.Any) -> str:
-    names = _names(fields)
+def _first_model(models: typing.Any) -> str:
+    names = _names(models)
     return names[0] if names else ""
 
 
-def _names(fields: typing.Any) -> tuple[str, ...]:
-    if not isinstance(fields, list):
+def _names(entries: typing.Any) -> tuple[str, ...]:
+    if not isinstance(entries, list):
         return ()
-    names = (each.get("name") if isinstance(each, dict) else each for each in fields)
+    names = (entry.get("name") if isinstance(entry, dict) else entry for entry in entries)
     return tuple(name for name in names if isinstance(name, str) and name)
 
 
-def _number(fields: typing.Any) -> float:
-    if isinstance(fields, bool) or not isinstance(fields, int | float):
+def _number(value: typing.Any) -> float:
+    if isinstance(value, bool) or not isinstance(value, int | float):
         return 0
-    return fields
+    return value
