--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -19,10 +19,7 @@
 
 class LeaseTest(unittest.TestCase):
     async def assert_recovers_from(self, kind, **faults):
-        """Assert that a holder whose calls of a kind are lost holds the key in the end.
-
-        :param faults: fields of the client's faults, with the number of lost calls
-        """
+        """Assert that a holder recovers from lost calls; ``faults`` gives their numbers."""
         platform = memory.MemoryPlatform()
         leased_key = new_lease(platform, "entry-0")
         injected_faults = platform.faults["entry-0"]
