--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -193,7 +193,7 @@
             return orders.OrderOutcome.UNREACHABLE
         return await self._carry_out(target, order, order_count)
 
-    async def look(self, server: servers.Server) -> servers.Server | None:
+    async def probe(self, server: servers.Server) -> servers.Server | None:
         """See :class:`orders.EngineClient`."""
         await trio.sleep(0.002)
         target = self.servers[server.server_id]
--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -164,7 +164,7 @@
                 nursery.cancel_scope.cancel()
 
     async def _report(self, send):
-        state = await self.fleet.look(self.server.state())
+        state = await self.fleet.probe(self.server.state())
         if state is not None:
             await asgi.respond_json(
                 send, 200, plain_state(state) | {"seq": state.order_count, "busy": False}
--- a/tests/platform/test_platform_calls.py
+++ b/tests/platform/test_platform_calls.py
@@ -163,7 +163,7 @@
         join = orders.Join("g1", 5, "m0", ("b0", "b1"))
         self.assertIs(orders.OrderOutcome.BEGUN, await client.send(server, join, 0, 9))
         self.assertIs(orders.OrderOutcome.REFUSED, await client.send(server, join, 0, 9))
-        self.assertEqual(1, (await client.look(server)).order_count)
+        self.assertEqual(1, (await client.probe(server)).order_count)
         plain = worker.orders[0]
         self.assertEqual(
             ("join", "g1", 5, 9), tuple(plain[x] for x in ("op", "group", "epoch", "fence"))
--- a/tests/replica_scenes.py
+++ b/tests/replica_scenes.py
@@ -30,7 +30,7 @@
         self.registry = registry.Registry(
             self.mirror, replicas.REGISTRATIONS_PREFIX, replicas.decode
         )
-        self.board = records.GroupBoard(self.mirror)
+        self.board = records.GroupTable(self.mirror)
         self.routes = table.RouteTableHolder(replicas.new_routes(self.engine))
         self.lease = lease.LeasedKey(
             self.client,
@@ -43,7 +43,7 @@
         self.planner = planner.Planner(
             self.mirror,
             self.lease,
-            plan.Plan(self.client, self.mirror, self.lease, self.board),
+            plan.PlanWriter(self.client, self.mirror, self.lease, self.board),
             self.board,
             self.registry,
             self.routes,
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -25,12 +25,12 @@
     async def send(self, server, order, order_count, fence):
         return await self.inner.send(server, order, order_count, fence)
 
-    async def look(self, server):
+    async def probe(self, server):
         if self.lost:
             self.lost -= 1
             await trio.sleep(1)
             return None
-        return await self.inner.look(server)
+        return await self.inner.probe(server)
 
 
 class LookTest(unittest.TestCase):
@@ -41,7 +41,7 @@
         known = registry.Registry(mirror.Mirror(), replicas.REGISTRATIONS_PREFIX, replicas.decode)
         orderer = ordering.Orderer(LossyEngines(fleet, lost), known, lambda: 1)
         began_s = trio.current_time()
-        found = await orderer.look(server)
+        found = await orderer.probe(server)
         return found, orderer.is_unreachable(server.incarnation), trio.current_time() - began_s
 
     @clocked.on_test_clock
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -33,7 +33,7 @@
     def setUp(self):
         self.copy = mirror.Mirror()
         known = registry.Registry(self.copy, replicas.REGISTRATIONS_PREFIX, replicas.decode)
-        self.board = records.GroupBoard(self.copy)
+        self.board = records.GroupTable(self.copy)
         self.closed = set()
         cold = budget.ColdBudget(1.5, 5, gateways.FixedList(gateways.new_entry("e1")))
         self.targets = targets.Targets(
--- a/toucanhold/gateway/targets.py
+++ b/toucanhold/gateway/targets.py
@@ -32,7 +32,7 @@
     """
 
     known: registry.Registry
-    board: records.GroupBoard
+    board: records.GroupTable
     loads: load.LoadBoard
     health: health.Health
     cold: budget.ColdBudget
--- a/toucanhold/platform/entry.py
+++ b/toucanhold/platform/entry.py
@@ -76,7 +76,7 @@
         self.store = store.StoreClient(own.store_address)
         self.mirror = mirror.Mirror()
         self.registry = registry.Registry(self.mirror, registrations.PREFIX, registrations.decode)
-        self.board = records.GroupBoard(self.mirror)
+        self.board = records.GroupTable(self.mirror)
         self.routes = table.RouteTableHolder()
         self.closed_zones: set[str] = set()
         self.mirror.listen(configuration.PREFIX, self._apply_operator_settings)
@@ -183,7 +183,7 @@
         self.planner = planner.Planner(
             self.mirror,
             self.planner_lease,
-            plan.Plan(self.store, self.mirror, self.planner_lease, self.board),
+            plan.PlanWriter(self.store, self.mirror, self.planner_lease, self.board),
             self.board,
             self.registry,
             self.routes,
--- a/toucanhold/platform/servers.py
+++ b/toucanhold/platform/servers.py
@@ -77,7 +77,7 @@
             return orders.OrderOutcome.BEGUN
         return orders.OrderOutcome.HOLDS if status == 200 else orders.OrderOutcome.REFUSED
 
-    async def look(self, server: servers.Server) -> servers.Server | None:
+    async def probe(self, server: servers.Server) -> servers.Server | None:
         """See :class:`orders.EngineClient`."""
         try:
             status, content = await self._control(server, b"GET", b"/report", b"")
--- a/toucanhold/replicas/driver.py
+++ b/toucanhold/replicas/driver.py
@@ -42,8 +42,8 @@
     """
 
     name: str
-    board: records.GroupBoard
-    plan: plan.Plan
+    board: records.GroupTable
+    plan: plan.PlanWriter
     known: registry.Registry
     orderer: ordering.Orderer
     news: waking.Signal
@@ -197,7 +197,7 @@
         # A lapsed registration no longer tells that the head has closed its group.
         if head is None or self.known.is_present(head.incarnation):
             return head
-        return await self.orderer.look(head)
+        return await self.orderer.probe(head)
 
     def _is_head_dead(self, group: records.Group) -> bool:
         """Tell whether the head has certainly ended: it has started again since."""
--- a/toucanhold/replicas/ordering.py
+++ b/toucanhold/replicas/ordering.py
@@ -63,7 +63,7 @@
         :raises NotPlannerError: when this entry may not give orders now
         """
         async with self._locks[server.server_id]:
-            if server.incarnation not in self._counts and await self.look(server) is None:
+            if server.incarnation not in self._counts and await self.probe(server) is None:
                 return orders.OrderOutcome.UNREACHABLE
             outcome = await self._send_once(server, order)
             if outcome is orders.OrderOutcome.REFUSED:
@@ -82,11 +82,11 @@
         # A report tells the count as it was a moment ago; asked at once it brings back the number
         # that has just been refused, and the group waits a second for the next try.
         await trio.sleep(REPORT_LAG_S)
-        if await self.look(server) is None:
+        if await self.probe(server) is None:
             return orders.OrderOutcome.UNREACHABLE
         return await self._send_once(server, order)
 
-    async def look(self, server: servers.Server) -> servers.Server | None:
+    async def probe(self, server: servers.Server) -> servers.Server | None:
         """Ask a server for its present state; None where it does not answer."""
         found = await self._look_twice(server)
         self.reach.note(server, found is not None)
@@ -107,7 +107,7 @@
 
                 async def look_once(begin_s: float) -> None:
                     await trio.sleep(begin_s)
-                    answer = await self.engines.look(server)
+                    answer = await self.engines.probe(server)
                     if answer is not None:
                         found.append(answer)
                         nursery.cancel_scope.cancel()
--- a/toucanhold/replicas/orders.py
+++ b/toucanhold/replicas/orders.py
@@ -85,5 +85,5 @@
         """
 
     @abc.abstractmethod
-    async def look(self, server: servers.Server) -> servers.Server | None:
+    async def probe(self, server: servers.Server) -> servers.Server | None:
         """Return what the server says of itself now, or None where it does not answer."""
--- a/toucanhold/replicas/plan.py
+++ b/toucanhold/replicas/plan.py
@@ -28,7 +28,7 @@
 
 
 @attrs.define(eq=False)
-class Plan:
+class PlanWriter:
     """Writes of one planner.
 
     Each write moves the plan's key on from the revision that the writer has seen. So a write whose
@@ -39,7 +39,7 @@
     client: keyvalue.KeyValueClient
     source: mirror.Mirror
     held: lease.LeasedKey
-    board: records.GroupBoard
+    board: records.GroupTable
     _written: int | None = attrs.field(default=None, init=False)
     _lock: trio.Lock = attrs.field(factory=trio.Lock, init=False)
 
--- a/toucanhold/replicas/planner.py
+++ b/toucanhold/replicas/planner.py
@@ -52,8 +52,8 @@
 
     source: mirror.Mirror
     held: lease.LeasedKey
-    plan: plan.Plan
-    board: records.GroupBoard
+    plan: plan.PlanWriter
+    board: records.GroupTable
     known: registry.Registry
     routes: table.RouteTableHolder
     engines: orders.EngineClient
--- a/toucanhold/replicas/probing.py
+++ b/toucanhold/replicas/probing.py
@@ -24,7 +24,7 @@
     :ivar on_dead: called when a lapsed server was found dead
     """
 
-    board: records.GroupBoard
+    board: records.GroupTable
     known: registry.Registry
     orderer: ordering.Orderer
     on_dead: collections.abc.Callable[[], None]
@@ -50,7 +50,7 @@
             server for group in groups.values() for server in records.members_of(group, self.known)
         ]
         for server in [*asked, *self._witnesses(asked)]:
-            nursery.start_soon(self.orderer.look, server)
+            nursery.start_soon(self.orderer.probe, server)
 
     def _ask_lapsed(self, nursery: trio.Nursery) -> None:
         if not self.known.lapsed:
@@ -65,10 +65,10 @@
             asked.append(server)
             nursery.start_soon(self._ask_one, server)
         for witness in self._witnesses(asked):
-            nursery.start_soon(self.orderer.look, witness)
+            nursery.start_soon(self.orderer.probe, witness)
 
     async def _ask_one(self, server: servers.Server) -> None:
-        found = await self.orderer.look(server)
+        found = await self.orderer.probe(server)
         if found is not None:
             self.known.note_report(found)
         elif not self.orderer.reach.is_cut_off(server.zone):
--- a/toucanhold/replicas/records.py
+++ b/toucanhold/replicas/records.py
@@ -94,7 +94,7 @@
 
 
 @attrs.define(eq=False)
-class GroupBoard:
+class GroupTable:
     """All groups that the key-value service holds.
 
     :ivar groups: name to group
