--- a/tests/test_composition.py
+++ b/tests/test_composition.py
@@ -25,38 +25,38 @@
     return [new_server(name, domain, model, staged) for name in names]
 
 
-def new_situation(free, counts=None, usable=None, engine=None, ending=None):
+def new_snapshot(free, counts=None, usable=None, engine=None, ending=None):
     engine = engine or replicas.new_engine()
     usable = usable if usable is not None else sum(map(len, free.values()))
     counts = counts or {}
     # Where the groups are makes no difference to these decisions; that there are some does.
     zone_counts = {(model, "zone-z"): count for model, count in counts.items()}
-    return composition.Situation(engine, free, counts, usable, zone_counts, {}, ending or {})
+    return composition.ServiceSnapshot(engine, free, counts, usable, zone_counts, {}, ending or {})
 
 
 class StartTest(unittest.TestCase):
     def test_each_domain_of_nine_gets_both_models_and_keeps_two_spares(self):
         free = {f"d{number}": new_domain(f"d{number}", 9) for number in range(6)}
-        composer = composition.Composer(new_situation(free))
-        chosen = composer.formations()
+        placement_planner = composition.PlacementPlanner(new_snapshot(free))
+        chosen = placement_planner.placements()
         found = collections.Counter((each.model, each.members[0].domain) for each in chosen)
         self.assertEqual(12, len(found))
         self.assertEqual({1}, set(found.values()))
-        prepared = collections.Counter(each.model for each in composer.preparations())
+        prepared = collections.Counter(each.model for each in placement_planner.preloads())
         self.assertEqual({"large": 6, "small": 6}, prepared)
 
     def test_members_of_a_group_share_a_domain(self):
         free = {f"d{number}": new_domain(f"d{number}", 3) for number in range(8)}
-        chosen = composition.Composer(new_situation(free)).formations()
+        chosen = composition.PlacementPlanner(new_snapshot(free)).placements()
         self.assertTrue(chosen)
-        for formation in chosen:
-            self.assertEqual(1, len({member.domain for member in formation.members}))
+        for placement in chosen:
+            self.assertEqual(1, len({member.domain for member in placement.members}))
 
     def test_one_model_of_single_servers_uses_all_but_the_spares(self):
         model = table.Model("one", 1, 1.0, 1.0, 10.0, 1.0)
         free = {"d0": new_domain("d0", 9)}
-        situation = new_situation(free, engine=replicas.new_engine(model))
-        self.assertEqual(7, len(composition.Composer(situation).formations()))
+        snapshot = new_snapshot(free, engine=replicas.new_engine(model))
+        self.assertEqual(7, len(composition.PlacementPlanner(snapshot).placements()))
 
 
 class SmallDomainTest(unittest.TestCase):
@@ -69,94 +69,98 @@
     def test_small_groups_leave_whole_domains_to_the_large_model(self):
         """Guards against a large model without a place: small groups had one in each domain."""
         free = {f"d{n}": new_domain(f"d{n}", 19) for n in range(5)}
-        chosen = composition.Composer(new_situation(free, engine=self.ENGINE)).formations()
+        chosen = composition.PlacementPlanner(new_snapshot(free, engine=self.ENGINE)).placements()
         found = collections.Counter(each.model for each in chosen)
         self.assertEqual({"large": 2, "small": 12}, found)
 
     def test_an_empty_server_loads_the_model_whose_survivors_lack_it(self):
         """Guards against fifteen idle survivors whose sixteenth loads the other model."""
         free = {"d0": [*new_domain("d0", 15, "large"), new_server("new", "d0")]}
-        situation = new_situation(free, {"large": 1, "small": 10}, 95, self.ENGINE)
-        (preparation,) = composition.Composer(situation).preparations()
-        self.assertEqual("large", preparation.model)
+        snapshot = new_snapshot(free, {"large": 1, "small": 10}, 95, self.ENGINE)
+        (preload,) = composition.PlacementPlanner(snapshot).preloads()
+        self.assertEqual("large", preload.model)
 
 
 class RepairTest(unittest.TestCase):
     def test_survivors_and_a_spare_that_holds_the_model_form_at_once(self):
         free = {"d0": new_domain("d0", 3, "large") + [new_server("spare", "d0", "large")]}
-        composer = composition.Composer(new_situation(free, {"large": 5, "small": 6}, 54))
-        (formation,) = composer.formations()
-        self.assertEqual("large", formation.model)
+        placement_planner = composition.PlacementPlanner(
+            new_snapshot(free, {"large": 5, "small": 6}, 54)
+        )
+        (placement,) = placement_planner.placements()
+        self.assertEqual("large", placement.model)
 
     def test_no_group_waits_for_a_member_that_loads_for_a_quarter_of_a_minute(self):
         """Guards against survivors that wait 16 s, bound to a member that loads."""
         free = {"d0": new_domain("d0", 3, "large") + [new_server("new", "d0")]}
-        composer = composition.Composer(new_situation(free, {"large": 5, "small": 6}, 54))
-        self.assertEqual([], composer.formations())
-        (preparation,) = composer.preparations()
-        self.assertEqual("new", preparation.server.server_id)
+        placement_planner = composition.PlacementPlanner(
+            new_snapshot(free, {"large": 5, "small": 6}, 54)
+        )
+        self.assertEqual([], placement_planner.placements())
+        (preload,) = placement_planner.preloads()
+        self.assertEqual("new", preload.server.server_id)
 
     def test_survivors_keep_their_model_while_the_other_groups_are_in_a_zone_that_is_out(self):
         """Guards against survivors that load the other model and leave their own to nobody."""
         free = {"d0": [new_server("spare", "d0", "large")] + new_domain("d0", 3, "small")}
-        situation = attrs.evolve(new_situation(free, {}, 9), zone_counts={("large", "zone-a"): 1})
-        (formation,) = composition.Composer(situation).formations()
-        self.assertEqual("small", formation.model)
+        snapshot = attrs.evolve(new_snapshot(free, {}, 9), zone_counts={("large", "zone-a"): 1})
+        (placement,) = composition.PlacementPlanner(snapshot).placements()
+        self.assertEqual("small", placement.model)
 
     def test_extra_groups_leave_spares_for_the_next_loss(self):
         free = {"d0": new_domain("d0", 4, "large")}
-        situation = new_situation(free, {"large": 7, "small": 7}, 54)
-        self.assertEqual([], composition.Composer(situation).formations())
+        snapshot = new_snapshot(free, {"large": 7, "small": 7}, 54)
+        self.assertEqual([], composition.PlacementPlanner(snapshot).placements())
 
     def test_model_that_lacks_groups_goes_first(self):
         free = {"d0": new_domain("d0", 4, "large", ("large", "small"))}
-        situation = new_situation(free, {"large": 6, "small": 1}, 54)
-        (formation,) = composition.Composer(situation).formations()
-        self.assertEqual("small", formation.model)
+        snapshot = new_snapshot(free, {"large": 6, "small": 1}, 54)
+        (placement,) = composition.PlacementPlanner(snapshot).placements()
+        self.assertEqual("small", placement.model)
 
 
 class StarvedModelTest(unittest.TestCase):
     def test_spares_are_loaded_anew_for_a_model_that_has_no_group(self):
         """Guards against callers refused for good beside idle servers of the other model."""
         free = {"d0": new_domain("d0", 4, "large") + [new_server("last", "d0", "small")]}
-        composer = composition.Composer(new_situation(free, {"large": 1}, 9))
-        self.assertEqual([], composer.formations())
-        prepared = [each.model for each in composer.preparations()]
+        placement_planner = composition.PlacementPlanner(new_snapshot(free, {"large": 1}, 9))
+        self.assertEqual([], placement_planner.placements())
+        prepared = [each.model for each in placement_planner.preloads()]
         self.assertGreaterEqual(prepared.count("small"), 2)
 
     def test_no_more_spares_are_loaded_than_the_missing_group_needs(self):
         """Guards against spares of each domain in turn that load for the same missing group."""
         free = {name: new_domain(name, 5, "large") for name in ("d0", "d1")}
-        situation = new_situation(free, {"large": 1}, 13)
-        found = composition.Composer(situation).preparations()
+        snapshot = new_snapshot(free, {"large": 1}, 13)
+        found = composition.PlacementPlanner(snapshot).preloads()
         self.assertEqual(3, len(found))
         (domain,) = {each.server.domain for each in found}
         free[domain] = free[domain][3:]
-        situation = new_situation(free, {"large": 1}, 13)
-        loading = attrs.evolve(situation, loading={domain: 3})
-        self.assertEqual([], composition.Composer(loading).preparations())
+        snapshot = new_snapshot(free, {"large": 1}, 13)
+        loading = attrs.evolve(snapshot, loading_counts={domain: 3})
+        self.assertEqual([], composition.PlacementPlanner(loading).preloads())
 
     def test_spares_of_a_zone_that_is_out_are_left_alone(self):
         """Guards against loads in a zone that serves nobody."""
         free = {name: new_domain(name, 5, "large") for name in ("da", "db")}
-        situation = attrs.evolve(
-            new_situation(free, {"large": 1}, 9), closed_zones=frozenset({"zone-a"})
+        snapshot = attrs.evolve(
+            new_snapshot(free, {"large": 1}, 9), closed_zones=frozenset({"zone-a"})
         )
-        found = composition.Composer(situation).preparations()
+        found = composition.PlacementPlanner(snapshot).preloads()
         self.assertEqual({"zone-b"}, {each.server.zone for each in found})
         self.assertEqual(3, len(found))
 
     def test_spares_wait_for_the_servers_of_a_group_that_is_taken_apart(self):
         free = {"d0": new_domain("d0", 5, "large")}
-        situation = new_situation(free, {"large": 1}, 13, ending={"d0": 1})
-        self.assertEqual([], composition.Composer(situation).preparations())
+        snapshot = new_snapshot(free, {"large": 1}, 13, ending={"d0": 1})
+        self.assertEqual([], composition.PlacementPlanner(snapshot).preloads())
 
 
 class SpanningTest(unittest.TestCase):
     def test_spares_of_several_domains_form_no_group(self):
         free = {f"d{n}": new_domain(f"d{n}", 1, "large") for n in range(6)}
-        few = new_situation(free, {"large": 2, "small": 6}, 54)
-        self.assertEqual([], composition.Composer(few).formations())
+        few = new_snapshot(free, {"large": 2, "small": 6}, 54)
+        self.assertEqual([], composition.PlacementPlanner(few).placements())
 
 
 class AnySituationTest(unittest.TestCase):
@@ -177,8 +181,8 @@
             )
         )
         free = {f"d{n}": new_domain(f"d{n}", size) for n, size in enumerate(sizes)}
-        chosen = composition.Composer(new_situation(free, engine=engine)).formations()
+        chosen = composition.PlacementPlanner(new_snapshot(free, engine=engine)).placements()
         used = [member.server_id for each in chosen for member in each.members]
         self.assertEqual(len(used), len(set(used)))
-        for formation in chosen:
-            self.assertEqual(engine.model(formation.model).size, len(formation.members))
+        for placement in chosen:
+            self.assertEqual(engine.model(placement.model).size, len(placement.members))
--- a/tests/test_conversion.py
+++ b/tests/test_conversion.py
@@ -66,10 +66,10 @@
         left = per_domain - survivors - groups * self.size["small"]
         self.free[domain] += new_servers(domain, left, "small", "spare-")
 
-    def situation(self):
+    def snapshot(self):
         counts = collections.Counter(group.model for group in self.groups)
         usable = sum(map(len, self.free.values())) + sum(len(each.members) for each in self.groups)
-        return composition.Situation(
+        return composition.ServiceSnapshot(
             self.engine,
             self.free,
             counts,
@@ -83,14 +83,14 @@
             self.ending,
         )
 
-    def composer(self):
-        composer = composition.Composer(self.situation())
-        self.formed = composer.formations()
-        return composer
+    def placement_planner(self):
+        placement_planner = composition.PlacementPlanner(self.snapshot())
+        self.formed = placement_planner.placements()
+        return placement_planner
 
     def stage(self, chosen):
         """Let hosts load the model that a step wants there."""
-        names = {server.server_id for server in chosen.staging}
+        names = {server.server_id for server in chosen.to_stage}
         for domain, free in self.free.items():
             self.free[domain] = [_staged(each, names, chosen.model.name) for each in free]
         for number, group in enumerate(self.groups):
@@ -99,9 +99,9 @@
                 group.name, group.model, group.domain, members
             )
 
-    def give_up(self, chosen, is_apart):
+    def preempt(self, chosen, is_apart):
         """Take groups apart: their members are free once that is done."""
-        for group in [each for each in self.groups if each.name in chosen.given_up]:
+        for group in [each for each in self.groups if each.name in chosen.preempted]:
             self.groups.remove(group)
             if is_apart:
                 self.free[group.domain] += group.members
@@ -131,19 +131,19 @@
         for per_domain, large, small in SIZES:
             with self.subTest(per_domain=per_domain):
                 site = Domains(per_domain, large, small, domains=3)
-                chosen = site.composer().next_conversion()
+                chosen = site.placement_planner().next_conversion()
                 self.assertEqual("large", chosen.model.name)
-                self.assertEqual(1, len(chosen.staging))
+                self.assertEqual(1, len(chosen.to_stage))
                 spares = (per_domain - large + 1) % small
-                self.assertEqual(0 if spares else 1, len(chosen.given_up))
+                self.assertEqual(0 if spares else 1, len(chosen.preempted))
                 site.stage(chosen)
-                again = site.composer().next_conversion()
+                again = site.placement_planner().next_conversion()
                 if spares:
                     self.assertNotEqual(chosen.domain, again and again.domain)
                 else:
-                    self.assertEqual((chosen.domain, ()), (again.domain, again.staging))
-                    site.give_up(again, is_apart=True)
-                    site.composer()
+                    self.assertEqual((chosen.domain, ()), (again.domain, again.to_stage))
+                    site.preempt(again, is_apart=True)
+                    site.placement_planner()
                 self.assertEqual("large", site.formed[0].model)
                 self.assertEqual(chosen.domain, site.formed[0].members[0].domain)
 
@@ -156,14 +156,14 @@
         staged = [each for each in site.groups if each.domain == "d0"][0]
         step = conversion.Conversion(site.engine.models[0], "d0", staged.members, (staged.name,))
         site.stage(step)
-        site.give_up(step, is_apart=False)
-        site.composer()
+        site.preempt(step, is_apart=False)
+        site.placement_planner()
         self.assertEqual([], [each.model for each in site.formed])
         site.groups.append(staged)
         site.ending.clear()
         site.free["d0"] += [_staged(each, {each.server_id}, "large") for each in staged.members]
         site.groups.remove(staged)
-        site.composer()
+        site.placement_planner()
         self.assertEqual("large", site.formed[0].model)
 
     def test_a_starved_small_model_gets_servers_of_a_large_group(self):
@@ -174,12 +174,12 @@
             )
             for n in range(4)
         ]
-        supply = conversion.Supply(
+        capacity = conversion.CapacitySnapshot(
             engine, {"large": 4.0, "small": 5.0}, {"large": 4}, {}, groups, {}
         )
-        chosen = conversion.next_conversion(supply)
+        chosen = conversion.next_conversion(capacity)
         self.assertEqual(
-            ("small", 3, 1), (chosen.model.name, len(chosen.staging), len(chosen.given_up))
+            ("small", 3, 1), (chosen.model.name, len(chosen.to_stage), len(chosen.preempted))
         )
 
     def test_no_group_is_given_up_where_the_other_model_would_starve_next(self):
@@ -187,14 +187,14 @@
         engine = new_engine(4, 3)
         group = conversion.ServingGroup("g", "small", "d0", tuple(new_servers("d0", 3, "small")))
         free = {"d0": new_servers("d0", 3, "large")}
-        supply = conversion.Supply(
+        capacity = conversion.CapacitySnapshot(
             engine, {"large": 1.0, "small": 1.0}, {"small": 1}, free, [group], {}
         )
-        self.assertIsNone(conversion.next_conversion(supply))
+        self.assertIsNone(conversion.next_conversion(capacity))
 
     def test_models_that_are_both_short_are_left_alone(self):
         for large in (1, 2, 3):
-            supply = conversion.Supply(
+            capacity = conversion.CapacitySnapshot(
                 new_engine(6, 3),
                 {"large": 4.0, "small": 8.0},
                 {"large": large, "small": 5 * large - 3},
@@ -202,12 +202,12 @@
                 [],
                 {},
             )
-            self.assertIsNone(conversion.underserved_model(supply) if large > 1 else None)
+            self.assertIsNone(conversion.underserved_model(capacity) if large > 1 else None)
 
     def test_one_model_alone_never_starves(self):
         engine = replicas.new_engine(table.Model("one", 1, 1.0, 1.0, 10.0, 1.0))
-        supply = conversion.Supply(engine, {"one": 5.0}, {}, {"d0": []}, [], {})
-        self.assertIsNone(conversion.next_conversion(supply))
+        capacity = conversion.CapacitySnapshot(engine, {"one": 5.0}, {}, {"d0": []}, [], {})
+        self.assertIsNone(conversion.next_conversion(capacity))
 
 
 class StarvedSiteTest(unittest.TestCase):
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -9,7 +9,7 @@
 from tests import clocked
 from toucanhold.coordination import mirror
 from toucanhold.registry import registry
-from toucanhold.replicas import ordering, orders
+from toucanhold.replicas import order_sender, orders
 
 
 @attrs.define(eq=False)
@@ -39,10 +39,10 @@
         fleet = replicas.MemoryServers(platform.client("servers"), replicas.new_engine(), nursery)
         server = (await fleet.add("s1", "d0")).state()
         known = registry.Registry(mirror.Mirror(), replicas.REGISTRATIONS_PREFIX, replicas.decode)
-        orderer = ordering.Orderer(LossyEngines(fleet, lost), known, lambda: 1)
+        sender = order_sender.OrderSender(LossyEngines(fleet, lost), known, lambda: 1)
         began_s = trio.current_time()
-        found = await orderer.probe(server)
-        return found, orderer.is_unreachable(server.incarnation), trio.current_time() - began_s
+        found = await sender.probe(server)
+        return found, sender.is_unreachable(server.incarnation), trio.current_time() - began_s
 
     @clocked.on_test_clock
     async def test_one_lost_packet_does_not_end_a_group(self):
@@ -60,5 +60,5 @@
             found, is_unreachable, took_s = await self._look(nursery, lost=2)
             self.assertIsNone(found)
             self.assertTrue(is_unreachable)
-            self.assertAlmostEqual(ordering.LOOK_TIMEOUT_S, took_s, delta=0.01)
+            self.assertAlmostEqual(order_sender.PROBE_TIMEOUT_S, took_s, delta=0.01)
             nursery.cancel_scope.cancel()
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -34,7 +34,7 @@
                 for group in node.board.groups.values()
             )
             self.assertEqual(4, len(domains))
-            spares = set(scene.fleet.servers) - node.board.occupied().keys()
+            spares = set(scene.fleet.servers) - node.board.groups_by_server().keys()
             self.assertEqual(4, len(spares))
             self.assertEqual(
                 {"large", "small"}, {scene.fleet.servers[name].model for name in spares}
@@ -303,13 +303,13 @@
             scene, node = await formed(nursery)
             group = node.serving("large")[0]
             await scene.fleet.darken(group.record.members[1].server_id)
-            fence = node.planner.orderer.fence
+            fence = node.planner.order_sender.fence
             given = len(scene.fleet.orders)
 
             def lapse():
                 return fence() if len(scene.fleet.orders) <= given + 1 else 0
 
-            node.planner.orderer.fence = lapse
+            node.planner.order_sender.fence = lapse
             node.planner.suspect(group.head.server_id)
             await trio.sleep(5)
             self.assertFalse(node.scope.cancelled_caught)
--- a/toucanhold/registry/registry.py
+++ b/toucanhold/registry/registry.py
@@ -15,10 +15,10 @@
 # Registrations that lapsed in an outage are back about two seconds after its end: the servers
 # write each 1.2 s, and the service needs a moment. What is missing after that is gone.
 LAPSE_GRACE_S = 2.2
-LOOK_INTERVAL_S = 0.25
+CHECK_INTERVAL_S = 0.25
 # A server that is cut off from the service goes on working for its group. Longer cuts than this
 # are rare, and what a server said of itself before them is worth nothing by then.
-LAPSED_KEPT_S = 30.0
+LAPSED_RETENTION_S = 30.0
 
 LOGGER = logging.getLogger(__name__)
 
@@ -36,21 +36,21 @@
         still work for a group
     """
 
-    source: mirror.Mirror
+    kv_mirror: mirror.Mirror
     prefix: str
     decode: Decoder
     servers: dict[str, servers.Server] = attrs.field(factory=dict, init=False)
     lapsed: dict[str, servers.Server] = attrs.field(factory=dict, init=False)
     version: int = attrs.field(default=0, init=False)
-    _lapsed_s: dict[str, float] = attrs.field(factory=dict, init=False)
+    _lapsed_at_s: dict[str, float] = attrs.field(factory=dict, init=False)
     _missing_since_s: dict[str, float] = attrs.field(factory=dict, init=False)
     _listeners: list[collections.abc.Callable[[], None]] = attrs.field(factory=list, init=False)
 
     def __attrs_post_init__(self) -> None:
         """Follow the registrations."""
-        self.source.listen(self.prefix, self._take)
+        self.kv_mirror.listen(self.prefix, self._apply_changes)
 
-    def listen(self, listener: collections.abc.Callable[[], None]) -> None:
+    def add_listener(self, listener: collections.abc.Callable[[], None]) -> None:
         """Call ``listener`` after each change."""
         self._listeners.append(listener)
 
@@ -58,12 +58,12 @@
         """Return the servers of one service."""
         return [server for server in self.servers.values() if server.service == service]
 
-    def is_present(self, incarnation: tuple[str, int]) -> bool:
+    def is_registered(self, incarnation: tuple[str, int]) -> bool:
         """Tell whether this very start of a server is registered."""
         server = self.servers.get(incarnation[0])
         return server is not None and server.incarnation == incarnation
 
-    def may_live(self, incarnation: tuple[str, int]) -> bool:
+    def may_be_alive(self, incarnation: tuple[str, int]) -> bool:
         """Tell whether nothing known speaks against a start of a server: no later one is there."""
         server = self.servers.get(incarnation[0])
         return server is None or server.incarnation == incarnation
@@ -74,7 +74,7 @@
         server = self.servers.get(name) or self.lapsed.get(name)
         return server if server is not None and server.incarnation == incarnation else None
 
-    def note_report(self, server: servers.Server) -> None:
+    def update_lapsed(self, server: servers.Server) -> None:
         """Take in what a lapsed server said when it was asked."""
         if server.server_id in self.lapsed:
             self.lapsed[server.server_id] = server
@@ -82,21 +82,21 @@
     def forget(self, name: str) -> None:
         """Take a lapsed server for dead."""
         self.lapsed.pop(name, None)
-        self._lapsed_s.pop(name, None)
+        self._lapsed_at_s.pop(name, None)
 
     async def run(self) -> None:
         """Drop registrations that did not come back after an outage, until cancelled."""
         while True:
-            await trio.sleep(LOOK_INTERVAL_S)
+            await trio.sleep(CHECK_INTERVAL_S)
             self._drop_missing()
-            oldest_s = trio.current_time() - LAPSED_KEPT_S
-            for name in [name for name, since_s in self._lapsed_s.items() if since_s < oldest_s]:
+            oldest_s = trio.current_time() - LAPSED_RETENTION_S
+            for name in [name for name, since_s in self._lapsed_at_s.items() if since_s < oldest_s]:
                 self.forget(name)
 
-    def _take(self, keys: frozenset[str]) -> None:
+    def _apply_changes(self, keys: frozenset[str]) -> None:
         for key in keys:
             name = key.removeprefix(self.prefix)
-            item = self.source.items.get(key)
+            item = self.kv_mirror.items.get(key)
             if item is None:
                 self._missing_since_s[name] = trio.current_time()
                 continue
@@ -112,8 +112,8 @@
             events.log(LOGGER, events.Event.REGISTRATION_UNREADABLE, server=name)
             self.servers.pop(name, None)
             return
-        known = self.servers.get(name)
-        if known is None or known.incarnation != server.incarnation:
+        previous = self.servers.get(name)
+        if previous is None or previous.incarnation != server.incarnation:
             events.log(
                 LOGGER,
                 events.Event.SERVER_REGISTERED,
@@ -134,7 +134,7 @@
             server = self.servers.pop(name, None)
             if server is not None:
                 self.lapsed[name] = server
-                self._lapsed_s[name] = trio.current_time()
+                self._lapsed_at_s[name] = trio.current_time()
                 age_s = round(trio.current_time() - since_s, 3)
                 events.log(LOGGER, events.Event.SERVER_GONE, server=name, missing_s=age_s)
         self._notify()
@@ -142,7 +142,7 @@
     def _may_drop(self) -> bool:
         # All leases may lapse while the service is away; to believe that would take every server
         # out of service at once. The wait after the last failed call lets the living ones return.
-        return self.source.is_answering and self.source.since_failure_s > LAPSE_GRACE_S
+        return self.kv_mirror.is_answering and self.kv_mirror.since_failure_s > LAPSE_GRACE_S
 
     def _notify(self) -> None:
         self.version += 1
--- a/toucanhold/replicas/composition.py
+++ b/toucanhold/replicas/composition.py
@@ -13,11 +13,11 @@
 
 # Two groups a domain and two spares are what domains of nine leave over beside groups of four
 # and three. A loss then finds its replacement in the domain, where joining takes 0.2 s.
-SPARE_SHARE = 2 / 9
+SPARE_FRACTION = 2 / 9
 
 
 @attrs.frozen
-class Formation:
+class Placement:
     """A group to form; the first member is the head."""
 
     model: str
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class Preparation:
+class Preload:
     """A spare server that is to hold a model ready."""
 
     model: str
@@ -33,29 +33,29 @@
 
 
 @attrs.frozen
-class Situation:
+class ServiceSnapshot:
     """What a decision is made from.
 
-    :ivar free: servers that belong to no group and may be used, by domain
-    :ivar counts: groups that serve or form, by model
-    :ivar usable: servers of the service that are there, in groups or not
+    :ivar free_servers: servers that belong to no group and may be used, by domain
+    :ivar group_counts: groups that serve or form, by model
+    :ivar usable_count: servers of the service that are there, in groups or not
     :ivar zone_counts: groups by model and availability zone
     :ivar domain_counts: groups by model and domain
-    :ivar ending: groups by domain that are being taken apart: their servers are soon free
-    :ivar loading: spares by domain that load a model
+    :ivar ending_counts: groups by domain that are being taken apart: their servers are soon free
+    :ivar loading_counts: spares by domain that load a model
     :ivar closed_zones: availability zones that get no work
     :ivar groups: groups that serve or form in open zones
     :ivar ending_members: members of groups that are being taken apart, by domain
     """
 
     engine: table.Engine
-    free: collections.abc.Mapping[str, collections.abc.Sequence[servers.Server]]
-    counts: collections.abc.Mapping[str, int]
-    usable: int
+    free_servers: collections.abc.Mapping[str, collections.abc.Sequence[servers.Server]]
+    group_counts: collections.abc.Mapping[str, int]
+    usable_count: int
     zone_counts: collections.abc.Mapping[tuple[str, str], int]
     domain_counts: collections.abc.Mapping[tuple[str, str], int]
-    ending: collections.abc.Mapping[str, int] = attrs.field(factory=dict)
-    loading: collections.abc.Mapping[str, int] = attrs.field(factory=dict)
+    ending_counts: collections.abc.Mapping[str, int] = attrs.field(factory=dict)
+    loading_counts: collections.abc.Mapping[str, int] = attrs.field(factory=dict)
     closed_zones: collections.abc.Set[str] = frozenset()
     groups: collections.abc.Sequence[conversion.ServingGroup] = ()
     ending_members: collections.abc.Mapping[str, collections.abc.Sequence[servers.Server]] = (
@@ -63,10 +63,10 @@
     )
 
 
-def wanted_counts(engine: table.Engine, usable: int) -> dict[str, float]:
+def target_group_counts(engine: table.Engine, usable_count: int) -> dict[str, float]:
     """Return how many groups of each model the servers should form, spares aside."""
     total_share = sum(model.share for model in engine.models) or 1.0
-    workable = usable * (1 - SPARE_SHARE)
+    workable = usable_count * (1 - SPARE_FRACTION)
     return {
         model.name: max(1.0, workable * model.share / total_share / model.size)
         for model in engine.models
@@ -74,7 +74,7 @@
 
 
 @attrs.define
-class Composer:
+class PlacementPlanner:
     """Decides for one service from one situation.
 
     A group stays within a fabric domain. One that spans several is slower by far, and what it
@@ -85,186 +85,207 @@
     group is formed of servers that join within seconds.
     """
 
-    situation: Situation
-    wanted: dict[str, float] = attrs.field(init=False)
-    counts: dict[str, int] = attrs.field(init=False)
+    snapshot: ServiceSnapshot
+    target_counts: dict[str, float] = attrs.field(init=False)
+    group_counts: dict[str, int] = attrs.field(init=False)
     _zone_counts: dict[tuple[str, str], int] = attrs.field(init=False)
     _domain_counts: dict[tuple[str, str], int] = attrs.field(init=False)
-    _free: dict[str, list[servers.Server]] = attrs.field(init=False)
-    _reserved: set[str] = attrs.field(init=False)
+    _free_servers: dict[str, list[servers.Server]] = attrs.field(init=False)
+    _reserved_domains: set[str] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Copy what changes while groups are chosen."""
-        situation = self.situation
-        self.wanted = wanted_counts(situation.engine, situation.usable)
-        self.counts = dict(situation.counts)
-        self._zone_counts = dict(situation.zone_counts)
-        self._domain_counts = dict(situation.domain_counts)
-        self._free = {domain: list(members) for domain, members in situation.free.items()}
-        self._reserved = conversion.reserved_domains(self._supply())
-
-    def formations(self) -> list[Formation]:
+        snapshot = self.snapshot
+        self.target_counts = target_group_counts(snapshot.engine, snapshot.usable_count)
+        self.group_counts = dict(snapshot.group_counts)
+        self._zone_counts = dict(snapshot.zone_counts)
+        self._domain_counts = dict(snapshot.domain_counts)
+        self._free_servers = {
+            domain: list(members) for domain, members in snapshot.free_servers.items()
+        }
+        self._reserved_domains = conversion.reserved_domains(self._capacity())
+
+    def placements(self) -> list[Placement]:
         """Return the groups to form now, most needed first."""
-        chosen: list[Formation] = []
-        while (formation := self._next()) is not None:
-            chosen.append(formation)
-            self._count(formation)
+        chosen: list[Placement] = []
+        while (placement := self._next_placement()) is not None:
+            chosen.append(placement)
+            self._record_placement(placement)
         return chosen
 
     def next_conversion(self) -> conversion.Conversion | None:
         """Return what to do for a model that starves, after the formations of this decision."""
-        return conversion.next_conversion(self._supply())
+        return conversion.next_conversion(self._capacity())
 
-    def _supply(self) -> conversion.Supply:
-        situation = self.situation
+    def _capacity(self) -> conversion.CapacitySnapshot:
+        snapshot = self.snapshot
         open_free = {
             domain: members
-            for domain, members in self._free.items()
-            if not any(server.zone in situation.closed_zones for server in members)
+            for domain, members in self._free_servers.items()
+            if not any(server.zone in snapshot.closed_zones for server in members)
         }
-        return conversion.Supply(
-            situation.engine,
-            self.wanted,
-            self.counts,
+        return conversion.CapacitySnapshot(
+            snapshot.engine,
+            self.target_counts,
+            self.group_counts,
             open_free,
-            situation.groups,
-            situation.ending_members,
+            snapshot.groups,
+            snapshot.ending_members,
         )
 
-    def preparations(self) -> list[Preparation]:
+    def preloads(self) -> list[Preload]:
         """Return which of the servers that are left should load which model."""
         chosen = [
-            each for model in self._models_without_group() for each in self._reload_spares(model)
+            each for model in self._models_without_group() for each in self._preloads_for(model)
         ]
-        reloaded = {each.server.server_id for each in chosen}
-        for free in self._free.values():
-            members = [server for server in free if server.server_id not in reloaded]
+        preloaded = {each.server.server_id for each in chosen}
+        for free_servers in self._free_servers.values():
+            members = [server for server in free_servers if server.server_id not in preloaded]
             ready = {
-                model.name: sum(fitness.is_ready(server, model) for server in members)
-                for model in self.situation.engine.models
+                model.name: sum(fitness.has_model(server, model) for server in members)
+                for model in self.snapshot.engine.models
             }
             for server in members:
                 if not server.model and not server.staged:
-                    model = self._most_useful(ready)
+                    model = self._model_to_preload(ready)
                     ready[model.name] += 1
-                    chosen.append(Preparation(model.name, server))
+                    chosen.append(Preload(model.name, server))
                 elif not server.model:
                     # Holding a model in memory saves more than a second when it is needed.
-                    chosen.append(Preparation(server.staged[0], server))
+                    chosen.append(Preload(server.staged[0], server))
         return chosen
 
     def _models_without_group(self) -> list[table.Model]:
         """Return the models that no group serves, beside others that have one."""
         # A group that is being taken apart may be the model's only one, and back in a moment.
-        if not any(self.counts.values()) or any(self.situation.ending.values()):
+        if not any(self.group_counts.values()) or any(self.snapshot.ending_counts.values()):
             return []
-        return [model for model in self.situation.engine.models if not self.counts.get(model.name)]
+        return [
+            model for model in self.snapshot.engine.models if not self.group_counts.get(model.name)
+        ]
 
-    def _reload_spares(self, model: table.Model) -> list[Preparation]:
+    def _preloads_for(self, model: table.Model) -> list[Preload]:
         """Return which spares of one domain should load a model that no group serves.
 
         Spares that hold another model load nothing by themselves: where they are all that is free,
         the model's callers were refused for good. Those of one domain are enough for a group.
         """
-        loading = self.situation.loading
-        fitting = [
+        loading_counts = self.snapshot.loading_counts
+        candidate_domains = [
             domain
-            for domain, members in self._free.items()
-            if len(members) + loading.get(domain, 0) >= model.size
-            and not any(server.zone in self.situation.closed_zones for server in members)
+            for domain, members in self._free_servers.items()
+            if len(members) + loading_counts.get(domain, 0) >= model.size
+            and not any(server.zone in self.snapshot.closed_zones for server in members)
         ]
 
         def missing(domain: str) -> int:
-            ready = sum(fitness.is_ready(server, model) for server in self._free[domain])
-            return model.size - ready - loading.get(domain, 0)
+            ready = sum(fitness.has_model(server, model) for server in self._free_servers[domain])
+            return model.size - ready - loading_counts.get(domain, 0)
 
-        if not fitting:
+        if not candidate_domains:
             return []
-        domain = min(fitting, key=lambda each: (missing(each), each))
-        others = [server for server in self._free[domain] if not fitness.is_ready(server, model)]
-        return [Preparation(model.name, server) for server in others[: max(0, missing(domain))]]
-
-    def _next(self) -> Formation | None:
-        neediest = sorted(self.situation.engine.models, key=lambda each: self._covered(each.name))
-        for model in neediest:
-            is_neediest = model is neediest[0]
-            is_short = self._is_short(model)
-            fitting = [
+        domain = min(candidate_domains, key=lambda each: (missing(each), each))
+        others = [
+            server for server in self._free_servers[domain] if not fitness.has_model(server, model)
+        ]
+        return [Preload(model.name, server) for server in others[: max(0, missing(domain))]]
+
+    def _next_placement(self) -> Placement | None:
+        models_by_coverage = sorted(
+            self.snapshot.engine.models, key=lambda each: self._coverage(each.name)
+        )
+        for model in models_by_coverage:
+            is_least_covered = model is models_by_coverage[0]
+            is_underprovisioned = self._is_underprovisioned(model)
+            candidate_domains = [
                 domain
-                for domain, members in self._free.items()
-                if (is_neediest or domain not in self._reserved)
-                and self._may_form(model, members, is_short)
+                for domain, members in self._free_servers.items()
+                if (is_least_covered or domain not in self._reserved_domains)
+                and self._may_place(model, members, is_underprovisioned)
             ]
-            if fitting:
-                domain = min(fitting, key=lambda each: self._rank(model, each))
-                return Formation(model.name, tuple(_members(model, self._free[domain])))
+            if candidate_domains:
+                domain = min(candidate_domains, key=lambda each: self._placement_cost(model, each))
+                return Placement(
+                    model.name, tuple(_select_members(model, self._free_servers[domain]))
+                )
         return None
 
-    def _may_form(self, model: table.Model, members: list[servers.Server], is_short: bool) -> bool:
+    def _may_place(
+        self, model: table.Model, members: list[servers.Server], is_underprovisioned: bool
+    ) -> bool:
         # A group beyond those wanted must leave the spares that replace the next loss.
-        reserve = 0 if is_short else max(2, math.ceil(model.size / 2))
+        reserve = 0 if is_underprovisioned else max(2, math.ceil(model.size / 2))
         if len(members) < model.size + reserve:
             return False
-        slowest_s = max(fitness.join_s(member, model) for member in _members(model, members))
+        slowest_s = max(
+            fitness.join_time_s(member, model) for member in _select_members(model, members)
+        )
         # Groups in zones that are out count as well. Without them a group that lost a member while
         # its zone's neighbour was out was taken for the first of all: its survivors loaded the
         # other model, and their own was served by nobody from then on.
-        is_first = not self.situation.zone_counts and not self.situation.ending
-        return is_first or slowest_s <= max(model.warm_s, fitness.REJOIN_S)
+        is_first = not self.snapshot.zone_counts and not self.snapshot.ending_counts
+        return is_first or slowest_s <= max(model.warm_s, fitness.REJOIN_TIME_S)
 
-    def _rank(self, model: table.Model, domain: str) -> tuple:
-        members = _members(model, self._free[domain])
+    def _placement_cost(self, model: table.Model, domain: str) -> tuple:
+        members = _select_members(model, self._free_servers[domain])
         zone = members[0].zone
         return (
-            round(max(fitness.join_s(member, model) for member in members), 1),
-            self._larger_groups_lost(model, domain),
+            round(max(fitness.join_time_s(member, model) for member in members), 1),
+            self._displaced_larger_groups(model, domain),
             self._domain_counts.get((model.name, domain), 0),
             self._zone_counts.get((model.name, zone), 0),
-            -len(self._free[domain]),
+            -len(self._free_servers[domain]),
             domain,
         )
 
-    def _larger_groups_lost(self, model: table.Model, domain: str) -> int:
+    def _displaced_larger_groups(self, model: table.Model, domain: str) -> int:
         """Return the groups of larger models that are short and would no longer fit there.
 
         Small groups that are spread over all domains leave none that can hold a large one.
         """
-        before = len(self._free[domain])
+        before = len(self._free_servers[domain])
         after = before - model.size
         return sum(
             before // larger.size - after // larger.size
-            for larger in self.situation.engine.models
-            if larger.size > model.size and self._is_short(larger)
+            for larger in self.snapshot.engine.models
+            if larger.size > model.size and self._is_underprovisioned(larger)
         )
 
-    def _is_short(self, model: table.Model) -> bool:
-        return self.counts.get(model.name, 0) + 0.5 < self.wanted[model.name]
-
-    def _count(self, formation: Formation) -> None:
-        head = formation.members[0]
-        self.counts[formation.model] = self.counts.get(formation.model, 0) + 1
-        for counts, place in ((self._zone_counts, head.zone), (self._domain_counts, head.domain)):
-            key = formation.model, place
-            counts[key] = counts.get(key, 0) + 1
-        for member in formation.members:
-            self._free[member.domain].remove(member)
-
-    def _covered(self, model: str) -> float:
-        return self.counts.get(model, 0) / self.wanted[model]
-
-    def _most_useful(self, ready: collections.abc.Mapping[str, int]) -> table.Model:
+    def _is_underprovisioned(self, model: table.Model) -> bool:
+        return self.group_counts.get(model.name, 0) + 0.5 < self.target_counts[model.name]
+
+    def _record_placement(self, placement: Placement) -> None:
+        head = placement.members[0]
+        self.group_counts[placement.model] = self.group_counts.get(placement.model, 0) + 1
+        for group_counts, place in (
+            (self._zone_counts, head.zone),
+            (self._domain_counts, head.domain),
+        ):
+            key = placement.model, place
+            group_counts[key] = group_counts.get(key, 0) + 1
+        for member in placement.members:
+            self._free_servers[member.domain].remove(member)
+
+    def _coverage(self, model: str) -> float:
+        return self.group_counts.get(model, 0) / self.target_counts[model]
+
+    def _model_to_preload(self, ready: collections.abc.Mapping[str, int]) -> table.Model:
         # The spares of a domain serve to fill a group up: of each model some, and more of that
         # of which groups are missing. Survivors that lack few come first.
-        def use(model: table.Model) -> tuple[float, float, int]:
-            held = ready[model.name] / model.size
-            missing = 1 - held if held < 1 and self._is_short(model) else 1.0
-            return missing, held + self._covered(model.name), -model.size
+        def preload_cost(model: table.Model) -> tuple[float, float, int]:
+            loaded_fraction = ready[model.name] / model.size
+            missing = (
+                1 - loaded_fraction
+                if loaded_fraction < 1 and self._is_underprovisioned(model)
+                else 1.0
+            )
+            return missing, loaded_fraction + self._coverage(model.name), -model.size
 
-        return min(self.situation.engine.models, key=use)
+        return min(self.snapshot.engine.models, key=preload_cost)
 
 
-def _members(model: table.Model, free: list[servers.Server]) -> list[servers.Server]:
-    def cost(server: servers.Server) -> tuple:
-        return fitness.join_s(server, model), server.cold_until_s, server.server_id
+def _select_members(model: table.Model, free_servers: list[servers.Server]) -> list[servers.Server]:
+    def join_cost(server: servers.Server) -> tuple:
+        return fitness.join_time_s(server, model), server.cold_until_s, server.server_id
 
-    return sorted(free, key=cost)[: model.size]
+    return sorted(free_servers, key=join_cost)[: model.size]
--- a/toucanhold/replicas/driver.py
+++ b/toucanhold/replicas/driver.py
@@ -9,30 +9,30 @@
 
 from toucanhold import events, waking
 from toucanhold.registry import registry, servers
-from toucanhold.replicas import ordering, orders, plan, records
+from toucanhold.replicas import order_sender, orders, plan, records
 
 # Orders without an effect are given again after this time; joins of loaded models take 0.2 s.
 ORDER_AGAIN_S = 1.0
 # Above the longest load (16 s) with several loads at once.
-FORMING_LIMIT_S = 45.0
+FORMING_TIMEOUT_S = 45.0
 # Streams of a planned ending may finish for this long: most take under 3 s.
-FINISH_LIMIT_S = 5.0
+DRAIN_TIMEOUT_S = 5.0
 # Added to the time after which a head without its members breaks by itself.
 STALL_MARGIN_S = 0.5
 # Servers of a group that nobody has reached for so long are taken for dead. Cuts are over sooner.
-CUT_LIMIT_S = 60.0
+PARTITION_TIMEOUT_S = 60.0
 CHECK_INTERVAL_S = 0.25
 # Until then a head whose registration has lapsed was asked.
-HEAD_ASKED_S = 0.6
+LAPSED_HEAD_TIMEOUT_S = 0.6
 
 LOGGER = logging.getLogger(__name__)
 
 JOINED = (servers.GroupState.READY, servers.GroupState.OPEN, servers.GroupState.CLOSING)
-WORKING = (servers.GroupState.OPEN, servers.GroupState.CLOSING)
+ACTIVE_STATES = (servers.GroupState.OPEN, servers.GroupState.CLOSING)
 
 
 @attrs.define(eq=False)
-class Driver:
+class GroupDriver:
     """Drives one group while this entry is the planner.
 
     It decides anew from the record and from what the servers report, so it can begin anywhere: a
@@ -42,32 +42,32 @@
     """
 
     name: str
-    board: records.GroupTable
+    group_table: records.GroupTable
     plan: plan.PlanWriter
-    known: registry.Registry
-    orderer: ordering.Orderer
-    news: waking.Signal
+    server_registry: registry.Registry
+    order_sender: order_sender.OrderSender
+    changed: waking.Signal
     stall_s: float
-    _begun_s: float = attrs.field(factory=trio.current_time, init=False)
-    _ordered_s: dict[str, float] = attrs.field(factory=dict, init=False)
-    _ending_s: float = attrs.field(default=0.0, init=False)
-    _left_s: float = attrs.field(default=0.0, init=False)
-    _missing_s: float | None = attrs.field(default=None, init=False)
+    _started_at_s: float = attrs.field(factory=trio.current_time, init=False)
+    _last_order_s: dict[str, float] = attrs.field(factory=dict, init=False)
+    _ending_since_s: float = attrs.field(default=0.0, init=False)
+    _members_left_at_s: float = attrs.field(default=0.0, init=False)
+    _head_missing_since_s: float | None = attrs.field(default=None, init=False)
     _has_served: bool = attrs.field(default=False, init=False)
 
     async def run(self) -> None:
         """Drive until the group is removed, or this entry is no longer the planner."""
         try:
-            while (group := self.board.groups.get(self.name)) is not None:
+            while (group := self.group_table.groups.get(self.name)) is not None:
                 await self._step(group)
-        except* ordering.NotPlannerError:
+        except* order_sender.NotPlannerError:
             # Raised in a nursery of orders it comes as a group; as such it once ended the process.
             LOGGER.debug("%s: no longer the planner", self.name)
 
     async def _step(self, group: records.Group) -> None:
         try:
             if group.is_ending:
-                if await self._is_taken_apart(group):
+                if await self._tear_down(group):
                     await self.plan.remove(group)
                     events.log(LOGGER, events.Event.GROUP_REMOVED, group=self.name)
                     return
@@ -87,49 +87,53 @@
         except plan.PlanWriteError as error:
             LOGGER.debug("%s: %s", self.name, error)
             await trio.sleep(CHECK_INTERVAL_S)
-        await self.news.wait(CHECK_INTERVAL_S)
+        await self.changed.wait(CHECK_INTERVAL_S)
 
     def _reason_to_end(self, group: records.Group) -> str:
-        if self._is_behind_cut(group):
+        if self._may_be_partitioned(group):
             return ""
         if self._is_head_missing(group):
             return f"the head {group.head.server_id} is gone"
         for member in group.record.members:
-            server = self.known.find(member.incarnation)
+            server = self.server_registry.find(member.incarnation)
             if server is None:
                 return f"{member.server_id} is gone"
             if server.is_leaving:
                 return f"{member.server_id} is leaving"
-            if self.orderer.is_unreachable(member.incarnation):
+            if self.order_sender.is_unreachable(member.incarnation):
                 return f"{member.server_id} does not answer"
             membership = server.membership
             if membership is not None and membership.epoch > group.epoch:
                 return f"{member.server_id} has joined a later group"
         if self._state(group.head, group) is servers.GroupState.BROKEN:
             return "the head has broken"
-        forming_s = trio.current_time() - self._begun_s
-        if not self._has_served and forming_s > FORMING_LIMIT_S:
+        forming_s = trio.current_time() - self._started_at_s
+        if not self._has_served and forming_s > FORMING_TIMEOUT_S:
             return "it was not formed in time"
         return ""
 
     def _is_head_missing(self, group: records.Group) -> bool:
-        if self.known.is_present(group.head.incarnation):
-            self._missing_s = None
+        if self.server_registry.is_registered(group.head.incarnation):
+            self._head_missing_since_s = None
             return False
-        if self.known.find(group.head.incarnation) is None:
+        if self.server_registry.find(group.head.incarnation) is None:
             return True
         now_s = trio.current_time()
-        self._missing_s = self._missing_s if self._missing_s is not None else now_s
+        self._head_missing_since_s = (
+            self._head_missing_since_s if self._head_missing_since_s is not None else now_s
+        )
         # It is asked meanwhile, with others of its zone, which may be cut off as a whole.
-        return now_s - self._missing_s > HEAD_ASKED_S
+        return now_s - self._head_missing_since_s > LAPSED_HEAD_TIMEOUT_S
 
-    def _is_behind_cut(self, group: records.Group) -> bool:
+    def _may_be_partitioned(self, group: records.Group) -> bool:
         """Tell whether what is missing of a group may only be out of the planner's reach."""
-        head = self.known.find(group.head.incarnation)
-        if head is None or not self.orderer.reach.is_cut_off(head.zone):
+        head = self.server_registry.find(group.head.incarnation)
+        if head is None or not self.order_sender.reachability.is_partitioned(head.zone):
             return False
         # A member that has started again ends the group wherever it is.
-        return all(self.known.may_live(member.incarnation) for member in group.record.members)
+        return all(
+            self.server_registry.may_be_alive(member.incarnation) for member in group.record.members
+        )
 
     async def _advance(self, group: records.Group) -> None:
         states = {member: self._state(member, group) for member in group.record.members}
@@ -144,9 +148,9 @@
         order = orders.Join(group.name, group.epoch, group.record.model, members)
         async with trio.open_nursery() as nursery:
             for member in missing:
-                server = self.known.find(member.incarnation)
-                if server is not None and self._is_due(member.server_id):
-                    nursery.start_soon(self.orderer.send, server, order)
+                server = self.server_registry.find(member.incarnation)
+                if server is not None and self._is_order_due(member.server_id):
+                    nursery.start_soon(self.order_sender.send, server, order)
 
     async def _open(self, group: records.Group) -> None:
         # Nobody but the planner checks the other members: each has reported by now that it is
@@ -162,98 +166,102 @@
                     epoch=group.epoch,
                     model=group.record.model,
                     head=group.head.server_id,
-                    formed_in_s=round(trio.current_time() - self._begun_s, 3),
+                    formed_in_s=round(trio.current_time() - self._started_at_s, 3),
                 )
             return
         # A head whose registration has lapsed gets no requests; it is asked before the group ends.
-        head = self.known.servers.get(group.head.server_id)
-        if state is servers.GroupState.READY and head is not None and self._is_due("open"):
-            await self.orderer.send(head, orders.Open(group.name, group.epoch))
+        head = self.server_registry.servers.get(group.head.server_id)
+        if state is servers.GroupState.READY and head is not None and self._is_order_due("open"):
+            await self.order_sender.send(head, orders.Open(group.name, group.epoch))
 
-    def _is_due(self, what: str) -> bool:
+    def _is_order_due(self, order_key: str) -> bool:
         now_s = trio.current_time()
-        if now_s - self._ordered_s.get(what, float("-inf")) < ORDER_AGAIN_S:
+        if now_s - self._last_order_s.get(order_key, float("-inf")) < ORDER_AGAIN_S:
             return False
-        self._ordered_s[what] = now_s
+        self._last_order_s[order_key] = now_s
         return True
 
-    async def _is_taken_apart(self, group: records.Group) -> bool:
+    async def _tear_down(self, group: records.Group) -> bool:
         """Do the next thing towards free servers; tell whether they are."""
-        self._ending_s = self._ending_s or trio.current_time()
-        if self._is_head_dead(group):
+        self._ending_since_s = self._ending_since_s or trio.current_time()
+        if self._has_head_restarted(group):
             return True
-        head = await self._ask_if_lapsed(self.known.find(group.head.incarnation))
-        if head is None or self.orderer.is_unreachable(head.incarnation):
-            return await self._wait_for_stall(group)
+        head = await self._probe_if_lapsed(self.server_registry.find(group.head.incarnation))
+        if head is None or self.order_sender.is_unreachable(head.incarnation):
+            return await self._detach_and_await_stall(group)
         state = head.state_in(group.name, group.epoch)
-        if state in WORKING:
+        if state in ACTIVE_STATES:
             await self._close(group, head)
             return False
         if state in (None, servers.GroupState.BROKEN):
             return True
-        return await self._leave_head(group, head)
+        return await self._detach_head(group, head)
 
-    async def _ask_if_lapsed(self, head: servers.Server | None) -> servers.Server | None:
+    async def _probe_if_lapsed(self, head: servers.Server | None) -> servers.Server | None:
         # A lapsed registration no longer tells that the head has closed its group.
-        if head is None or self.known.is_present(head.incarnation):
+        if head is None or self.server_registry.is_registered(head.incarnation):
             return head
-        return await self.orderer.probe(head)
+        return await self.order_sender.probe(head)
 
-    def _is_head_dead(self, group: records.Group) -> bool:
+    def _has_head_restarted(self, group: records.Group) -> bool:
         """Tell whether the head has certainly ended: it has started again since."""
-        head = self.known.servers.get(group.head.server_id)
+        head = self.server_registry.servers.get(group.head.server_id)
         return head is not None and head.incarnation != group.head.incarnation
 
     async def _close(self, group: records.Group, head: servers.Server) -> None:
         is_whole = all(
-            self.known.find(member.incarnation) is not None
-            and not self.orderer.is_unreachable(member.incarnation)
+            self.server_registry.find(member.incarnation) is not None
+            and not self.order_sender.is_unreachable(member.incarnation)
             for member in group.record.members
         )
-        in_time = trio.current_time() - self._ending_s < FINISH_LIMIT_S
+        in_time = trio.current_time() - self._ending_since_s < DRAIN_TIMEOUT_S
         # Without all its members the head finishes nothing; to wait would hold the others idle.
         finishes_work = is_whole and in_time
-        if self._is_due(f"close {finishes_work}"):
+        if self._is_order_due(f"close {finishes_work}"):
             order = orders.Close(group.name, group.epoch, finishes_work)
-            await self.orderer.send(head, order)
+            await self.order_sender.send(head, order)
 
-    async def _leave_head(self, group: records.Group, head: servers.Server) -> bool:
+    async def _detach_head(self, group: records.Group, head: servers.Server) -> bool:
         # An order to open whose answer was lost may still be carried out. One more order moves
         # the count on that the late one expects.
-        outcome = await self.orderer.send(head, orders.Leave(group.name, group.epoch))
+        outcome = await self.order_sender.send(head, orders.Leave(group.name, group.epoch))
         return outcome in (orders.OrderOutcome.BEGUN, orders.OrderOutcome.HOLDS)
 
-    async def _wait_for_stall(self, group: records.Group) -> bool:
+    async def _detach_and_await_stall(self, group: records.Group) -> bool:
         """Take the other members from a head that cannot be asked, and let it break by itself.
 
         Nobody can tell from here whether the head is dead or only cut off with its group open. A
         head that lacks a member breaks after a known time; until then its members stay its own.
         """
-        if not self._left_s and self._is_due("take members") and await self._take_members(group):
-            self._left_s = trio.current_time()
+        if (
+            not self._members_left_at_s
+            and self._is_order_due("take members")
+            and await self._detach_members(group)
+        ):
+            self._members_left_at_s = trio.current_time()
         now_s = trio.current_time()
-        if self._left_s:
-            return now_s - self._left_s > self.stall_s + STALL_MARGIN_S
+        if self._members_left_at_s:
+            return now_s - self._members_left_at_s > self.stall_s + STALL_MARGIN_S
         # Where a whole zone is cut off, head and members work on as a group. Once they are reached
         # again they would join other groups beside it, if its record were gone by then.
-        return now_s - self._ending_s > CUT_LIMIT_S
+        return now_s - self._ending_since_s > PARTITION_TIMEOUT_S
 
-    async def _take_members(self, group: records.Group) -> bool:
+    async def _detach_members(self, group: records.Group) -> bool:
         """Tell all members but the head to leave; return whether one has left."""
         outcomes: list[orders.OrderOutcome] = []
 
-        async def take(server: servers.Server) -> None:
+        async def detach(server: servers.Server) -> None:
             leave = orders.Leave(group.name, group.epoch)
-            outcomes.append(await self.orderer.send(server, leave))
+            outcomes.append(await self.order_sender.send(server, leave))
 
         async with trio.open_nursery() as nursery:
             for member in group.record.members[1:]:
-                server = self.known.find(member.incarnation)
+                server = self.server_registry.find(member.incarnation)
                 if server is not None:
-                    nursery.start_soon(take, server)
-        taken = (orders.OrderOutcome.BEGUN, orders.OrderOutcome.HOLDS)
-        return any(outcome in taken for outcome in outcomes)
+                    nursery.start_soon(detach, server)
+        left = (orders.OrderOutcome.BEGUN, orders.OrderOutcome.HOLDS)
+        return any(outcome in left for outcome in outcomes)
 
     def _state(self, member: records.Member, group: records.Group) -> servers.GroupState | None:
-        server = self.known.find(member.incarnation)
+        server = self.server_registry.find(member.incarnation)
         return server.state_in(group.name, group.epoch) if server is not None else None
--- a/toucanhold/replicas/ordering.py
+++ b/toucanhold/replicas/order_sender.py
@@ -15,19 +15,19 @@
 
 # A server that does not answer is not asked again, nor used in a new group, for this long; a
 # registration lapses after three heartbeats of 1.2 s.
-UNREACHABLE_S = 4.0
+UNREACHABLE_PERIOD_S = 4.0
 
 # A report is answered in milliseconds, but a lost packet is sent again only after 0.2 to 1 s. A
 # second question on a connection of its own, this much later, outlives that: where links lose one
 # packet in forty, nearly half of all looks at groups of sixteen missed a sound member.
-SECOND_LOOK_S = 0.12
-LOOK_TIMEOUT_S = 0.4
+SECOND_PROBE_DELAY_S = 0.12
+PROBE_TIMEOUT_S = 0.4
 
 # Part of the timeout in which other servers that were asked at the same moment are noted as well.
-SETTLE_S = 0.05
+PROBE_SETTLE_S = 0.05
 
 # Reports tell what was true up to 0.2 s ago.
-REPORT_LAG_S = 0.25
+MAX_REPORT_AGE_S = 0.25
 
 LOGGER = logging.getLogger(__name__)
 
@@ -37,17 +37,19 @@
 
 
 @attrs.define(eq=False)
-class Orderer:
+class OrderSender:
     """Gives orders to servers, one at a time each, while this entry is the planner.
 
     :ivar fence: returns the planner's fencing number; 0 where it may not act
     """
 
-    engines: orders.EngineClient
-    known: registry.Registry
+    engine_client: orders.EngineClient
+    server_registry: registry.Registry
     fence: collections.abc.Callable[[], int]
-    reach: reachability.Reachability = attrs.field(factory=reachability.Reachability, init=False)
-    _counts: dict[tuple[str, int], int] = attrs.field(factory=dict, init=False)
+    reachability: reachability.Reachability = attrs.field(
+        factory=reachability.Reachability, init=False
+    )
+    _order_counts: dict[tuple[str, int], int] = attrs.field(factory=dict, init=False)
     _unreachable_until_s: dict[tuple[str, int], float] = attrs.field(factory=dict, init=False)
     _locks: dict[str, trio.Lock] = attrs.field(
         factory=lambda: collections.defaultdict(trio.Lock), init=False
@@ -63,69 +65,69 @@
         :raises NotPlannerError: when this entry may not give orders now
         """
         async with self._locks[server.server_id]:
-            if server.incarnation not in self._counts and await self.probe(server) is None:
+            if server.incarnation not in self._order_counts and await self.probe(server) is None:
                 return orders.OrderOutcome.UNREACHABLE
             outcome = await self._send_once(server, order)
             if outcome is orders.OrderOutcome.REFUSED:
                 # One more order may have begun than its answer told: a late one, or one that was
                 # done so fast that its answer says only that its effect holds. Whatever the
                 # number, an order that begins moves the count past all that came before it.
-                self._counts[server.incarnation] += 1
+                self._order_counts[server.incarnation] += 1
                 outcome = await self._send_once(server, order)
             if outcome is orders.OrderOutcome.REFUSED:
-                outcome = await self._send_after_look(server, order)
+                outcome = await self._send_after_probe(server, order)
             return outcome
 
-    async def _send_after_look(
+    async def _send_after_probe(
         self, server: servers.Server, order: orders.Order
     ) -> orders.OrderOutcome:
         # A report tells the count as it was a moment ago; asked at once it brings back the number
         # that has just been refused, and the group waits a second for the next try.
-        await trio.sleep(REPORT_LAG_S)
+        await trio.sleep(MAX_REPORT_AGE_S)
         if await self.probe(server) is None:
             return orders.OrderOutcome.UNREACHABLE
         return await self._send_once(server, order)
 
     async def probe(self, server: servers.Server) -> servers.Server | None:
         """Ask a server for its present state; None where it does not answer."""
-        found = await self._look_twice(server)
-        self.reach.note(server, found is not None)
-        if found is None:
+        report = await self._probe_twice(server)
+        self.reachability.record_probe(server, report is not None)
+        if report is None:
             # Servers that were asked together are judged together.
-            await trio.sleep(SETTLE_S)
-        if found is None or found.incarnation != server.incarnation:
+            await trio.sleep(PROBE_SETTLE_S)
+        if report is None or report.incarnation != server.incarnation:
             self._mark_unreachable(server.incarnation)
             return None
         self._unreachable_until_s.pop(server.incarnation, None)
-        self._counts[server.incarnation] = found.order_count or 0
-        return found
+        self._order_counts[server.incarnation] = report.order_count or 0
+        return report
 
-    async def _look_twice(self, server: servers.Server) -> servers.Server | None:
-        found: list[servers.Server] = []
-        with trio.move_on_after(LOOK_TIMEOUT_S - SETTLE_S):
+    async def _probe_twice(self, server: servers.Server) -> servers.Server | None:
+        report: list[servers.Server] = []
+        with trio.move_on_after(PROBE_TIMEOUT_S - PROBE_SETTLE_S):
             async with trio.open_nursery() as nursery:
 
-                async def look_once(begin_s: float) -> None:
-                    await trio.sleep(begin_s)
-                    answer = await self.engines.probe(server)
+                async def probe_once(delay_s: float) -> None:
+                    await trio.sleep(delay_s)
+                    answer = await self.engine_client.probe(server)
                     if answer is not None:
-                        found.append(answer)
+                        report.append(answer)
                         nursery.cancel_scope.cancel()
 
-                for begin_s in (0.0, SECOND_LOOK_S):
-                    nursery.start_soon(look_once, begin_s)
-        return found[0] if found else None
+                for delay_s in (0.0, SECOND_PROBE_DELAY_S):
+                    nursery.start_soon(probe_once, delay_s)
+        return report[0] if report else None
 
     async def _send_once(self, server: servers.Server, order: orders.Order) -> orders.OrderOutcome:
         # The process may have been paused since the decision; another planner acts by then.
         fence = self.fence()
         if not fence:
             raise NotPlannerError(server.server_id)
-        count = self._counts[server.incarnation]
-        outcome = await self.engines.send(server, order, count, fence)
+        count = self._order_counts[server.incarnation]
+        outcome = await self.engine_client.send(server, order, count, fence)
         done_at_once = isinstance(order, orders.Leave) and outcome is orders.OrderOutcome.HOLDS
         if outcome is orders.OrderOutcome.BEGUN or done_at_once:
-            self._counts[server.incarnation] = count + 1
+            self._order_counts[server.incarnation] = count + 1
         if outcome is orders.OrderOutcome.UNREACHABLE:
             self._mark_unreachable(server.incarnation)
         events.log(
@@ -141,4 +143,4 @@
         return outcome
 
     def _mark_unreachable(self, incarnation: tuple[str, int]) -> None:
-        self._unreachable_until_s[incarnation] = trio.current_time() + UNREACHABLE_S
+        self._unreachable_until_s[incarnation] = trio.current_time() + UNREACHABLE_PERIOD_S
--- a/toucanhold/replicas/plan.py
+++ b/toucanhold/replicas/plan.py
@@ -18,7 +18,7 @@
 PLANNER_LEASE_S = 2
 
 # The key-value service takes 32 rows in one write; two are conditions and one the plan's mark.
-MAX_GROUPS_A_WRITE = 24
+MAX_GROUPS_PER_WRITE = 24
 
 LOGGER = logging.getLogger(__name__)
 
@@ -36,28 +36,28 @@
     planner can: two groups could otherwise come to share a server.
     """
 
-    client: keyvalue.KeyValueClient
-    source: mirror.Mirror
-    held: lease.LeasedKey
-    board: records.GroupTable
-    _written: int | None = attrs.field(default=None, init=False)
+    kv_client: keyvalue.KeyValueClient
+    kv_mirror: mirror.Mirror
+    planner_lease: lease.LeasedKey
+    group_table: records.GroupTable
+    _last_written_revision: int | None = attrs.field(default=None, init=False)
     _lock: trio.Lock = attrs.field(factory=trio.Lock, init=False)
 
     async def create(self, drafts: list[records.GroupRecord]) -> list[records.Group]:
-        """Write new groups, at most :data:`MAX_GROUPS_A_WRITE`.
+        """Write new groups, at most :data:`MAX_GROUPS_PER_WRITE`.
 
         :raises PlanWriteError: when that failed
         """
         async with self._lock:
             # A write that was taken for lost may have taken effect since the decision.
-            occupied = self.board.occupied()
+            groups_by_server = self.group_table.groups_by_server()
             members = [member for draft in drafts for member in draft.members]
-            if any(member.server_id in occupied for member in members):
+            if any(member.server_id in groups_by_server for member in members):
                 raise PlanWriteError("a server has been taken meanwhile")
-            revision = await self._write([self._put(draft) for draft in drafts])
+            revision = await self._write([self._put_write(draft) for draft in drafts])
         groups = [records.Group(draft, revision, revision) for draft in drafts]
         for group in groups:
-            self.board.put(group)
+            self.group_table.put(group)
         return groups
 
     async def mark_ending(self, group: records.Group) -> None:
@@ -67,8 +67,8 @@
         """
         record = attrs.evolve(group.record, phase=records.Phase.ENDING)
         async with self._lock:
-            revision = await self._write([self._put(record)])
-        self.board.put(records.Group(record, group.epoch, revision))
+            revision = await self._write([self._put_write(record)])
+        self.group_table.put(records.Group(record, group.epoch, revision))
 
     async def remove(self, group: records.Group) -> None:
         """Delete a group whose servers are free.
@@ -77,36 +77,36 @@
         """
         async with self._lock:
             await self._write([keyvalue.Write(records.GROUPS_PREFIX + group.name, None)])
-        self.board.remove(group.name)
+        self.group_table.remove(group.name)
 
     async def _write(self, writes: list[keyvalue.Write]) -> int:
-        if not self.held.is_held():
+        if not self.planner_lease.is_held():
             raise PlanWriteError("this entry is not the planner")
         conditions = [
-            keyvalue.Condition(PLANNER_KEY, mod_revision=self.held.fencing),
-            keyvalue.Condition(PLAN_KEY, mod_revision=self._seen_revision()),
+            keyvalue.Condition(PLANNER_KEY, mod_revision=self.planner_lease.fencing),
+            keyvalue.Condition(PLAN_KEY, mod_revision=self._expected_revision()),
         ]
         mark = keyvalue.Write(PLAN_KEY, uuid.uuid4().hex.encode())
-        self._written = None
+        self._last_written_revision = None
         try:
-            result = await self.client.commit(conditions, [mark, *writes])
+            result = await self.kv_client.commit(conditions, [mark, *writes])
         except keyvalue.KeyValueError as error:
             events.log(LOGGER, events.Event.PLAN_WRITE_FAILED, reason=str(error))
             raise PlanWriteError(str(error)) from error
         if not result.succeeded:
             raise PlanWriteError("the plan has changed meanwhile")
-        self._written = result.revision
+        self._last_written_revision = result.revision
         return result.revision
 
-    def _seen_revision(self) -> int:
+    def _expected_revision(self) -> int:
         # The mirror's revision is that of the groups on the board; a read of its own could be
         # ahead of them, and the write would then rest on groups that nobody here has seen.
-        if self._written is not None:
-            return self._written
-        item = self.source.items.get(PLAN_KEY)
+        if self._last_written_revision is not None:
+            return self._last_written_revision
+        item = self.kv_mirror.items.get(PLAN_KEY)
         return item.mod_revision if item is not None else 0
 
-    def _put(self, record: records.GroupRecord) -> keyvalue.Write:
+    def _put_write(self, record: records.GroupRecord) -> keyvalue.Write:
         return keyvalue.Write(records.GROUPS_PREFIX + record.group, records.encode(record))
 
 
--- a/toucanhold/replicas/probing.py
+++ b/toucanhold/replicas/probing.py
@@ -8,13 +8,13 @@
 import trio
 
 from toucanhold.registry import registry, servers
-from toucanhold.replicas import ordering, records
+from toucanhold.replicas import order_sender, records
 
 # How often a member is asked whose registration has lapsed: one that is dead would hold up its
 # group for this long, if the group's streams did not tell sooner.
-ASK_LAPSED_S = 0.5
+LAPSED_PROBE_INTERVAL_S = 0.5
 # Servers of a zone that are asked beside some that may be dead.
-WITNESSES = 2
+WITNESSES_PER_ZONE = 2
 
 
 @attrs.define(eq=False)
@@ -24,12 +24,12 @@
     :ivar on_dead: called when a lapsed server was found dead
     """
 
-    board: records.GroupTable
-    known: registry.Registry
-    orderer: ordering.Orderer
+    group_table: records.GroupTable
+    server_registry: registry.Registry
+    order_sender: order_sender.OrderSender
     on_dead: collections.abc.Callable[[], None]
     _suspects: set[str] = attrs.field(factory=set, init=False)
-    _asked_s: dict[str, float] = attrs.field(factory=dict, init=False)
+    _last_probe_s: dict[str, float] = attrs.field(factory=dict, init=False)
 
     def suspect(self, server_id: str) -> None:
         """Take note that a head has fallen silent."""
@@ -37,58 +37,67 @@
 
     def probe(self, nursery: trio.Nursery) -> None:
         """Ask whom it is time to ask; what they answer is for the orderer and the registry."""
-        self._ask_suspects(nursery)
-        self._ask_lapsed(nursery)
+        self._probe_suspects(nursery)
+        self._probe_lapsed(nursery)
 
-    def _ask_suspects(self, nursery: trio.Nursery) -> None:
+    def _probe_suspects(self, nursery: trio.Nursery) -> None:
         suspects, self._suspects = self._suspects, set()
         if not suspects:
             return
-        occupied = self.board.occupied()
-        groups = {occupied[name].name: occupied[name] for name in suspects if name in occupied}
-        asked = [
-            server for group in groups.values() for server in records.members_of(group, self.known)
+        groups_by_server = self.group_table.groups_by_server()
+        groups = {
+            groups_by_server[name].name: groups_by_server[name]
+            for name in suspects
+            if name in groups_by_server
+        }
+        probed = [
+            server
+            for group in groups.values()
+            for server in records.find_members(group, self.server_registry)
         ]
-        for server in [*asked, *self._witnesses(asked)]:
-            nursery.start_soon(self.orderer.probe, server)
+        for server in [*probed, *self._witnesses(probed)]:
+            nursery.start_soon(self.order_sender.probe, server)
 
-    def _ask_lapsed(self, nursery: trio.Nursery) -> None:
-        if not self.known.lapsed:
+    def _probe_lapsed(self, nursery: trio.Nursery) -> None:
+        if not self.server_registry.lapsed:
             return
         now_s = trio.current_time()
-        occupied = self.board.occupied()
-        asked = []
-        for name, server in self.known.lapsed.items():
-            if name not in occupied or now_s - self._asked_s.get(name, 0.0) < ASK_LAPSED_S:
+        groups_by_server = self.group_table.groups_by_server()
+        probed = []
+        for name, server in self.server_registry.lapsed.items():
+            if (
+                name not in groups_by_server
+                or now_s - self._last_probe_s.get(name, 0.0) < LAPSED_PROBE_INTERVAL_S
+            ):
                 continue
-            self._asked_s[name] = now_s
-            asked.append(server)
-            nursery.start_soon(self._ask_one, server)
-        for witness in self._witnesses(asked):
-            nursery.start_soon(self.orderer.probe, witness)
-
-    async def _ask_one(self, server: servers.Server) -> None:
-        found = await self.orderer.probe(server)
-        if found is not None:
-            self.known.note_report(found)
-        elif not self.orderer.reach.is_cut_off(server.zone):
-            self.known.forget(server.server_id)
+            self._last_probe_s[name] = now_s
+            probed.append(server)
+            nursery.start_soon(self._probe_lapsed_server, server)
+        for witness in self._witnesses(probed):
+            nursery.start_soon(self.order_sender.probe, witness)
+
+    async def _probe_lapsed_server(self, server: servers.Server) -> None:
+        report = await self.order_sender.probe(server)
+        if report is not None:
+            self.server_registry.update_lapsed(report)
+        elif not self.order_sender.reachability.is_partitioned(server.zone):
+            self.server_registry.forget(server.server_id)
             self.on_dead()
 
-    def _witnesses(self, asked: list[servers.Server]) -> list[servers.Server]:
+    def _witnesses(self, probed: list[servers.Server]) -> list[servers.Server]:
         """Return servers of the same zones to ask as well: if they are silent, the zone is cut off.
 
         Members of one group, and servers of one domain, fail together.
         """
         chosen: list[servers.Server] = []
-        names = {server.server_id for server in asked}
-        for zone in {server.zone for server in asked}:
-            domains = {server.domain for server in asked if server.zone == zone}
+        names = {server.server_id for server in probed}
+        for zone in {server.zone for server in probed}:
+            domains = {server.domain for server in probed if server.zone == zone}
             others = [
                 server
-                for server in self.known.servers.values()
+                for server in self.server_registry.servers.values()
                 if server.zone == zone and server.domain and server.server_id not in names
             ]
             others.sort(key=lambda server: (server.domain in domains, server.is_leaving))
-            chosen += others[:WITNESSES]
+            chosen += others[:WITNESSES_PER_ZONE]
         return chosen
--- a/toucanhold/replicas/records.py
+++ b/toucanhold/replicas/records.py
@@ -77,7 +77,7 @@
         """Whether it is to get no new work."""
         return self.record.phase is Phase.ENDING
 
-    def is_open(self, known: registry.Registry) -> bool:
+    def is_open(self, server_registry: registry.Registry) -> bool:
         """Tell whether the head serves and no member is known to have started again since.
 
         A member whose registration has lapsed may only be cut off from the key-value service, and
@@ -85,11 +85,13 @@
         of sixteen was given up. The planner asks such members, and the group's streams tell
         within a fraction of a second if nothing moves.
         """
-        if not known.is_present(self.head.incarnation):
+        if not server_registry.is_registered(self.head.incarnation):
             return False
-        if not all(known.may_live(member.incarnation) for member in self.record.members):
+        if not all(
+            server_registry.may_be_alive(member.incarnation) for member in self.record.members
+        ):
             return False
-        head = known.servers[self.head.server_id]
+        head = server_registry.servers[self.head.server_id]
         return head.state_in(self.name, self.epoch) is servers.GroupState.OPEN
 
 
@@ -101,18 +103,18 @@
     :ivar version: grows with each change
     """
 
-    source: mirror.Mirror
+    kv_mirror: mirror.Mirror
     groups: dict[str, Group] = attrs.field(factory=dict, init=False)
     version: int = attrs.field(default=0, init=False)
 
     def __attrs_post_init__(self) -> None:
         """Follow the records."""
-        self.source.listen(GROUPS_PREFIX, self._take)
+        self.kv_mirror.listen(GROUPS_PREFIX, self._apply_changes)
 
     def put(self, group: Group) -> None:
         """Take in what this process has just written, ahead of the mirror."""
-        known = self.groups.get(group.name)
-        if known is None or known.revision < group.revision:
+        current = self.groups.get(group.name)
+        if current is None or current.revision < group.revision:
             self.groups[group.name] = group
             self.version += 1
 
@@ -121,7 +123,7 @@
         self.groups.pop(name, None)
         self.version += 1
 
-    def occupied(self) -> dict[str, Group]:
+    def groups_by_server(self) -> dict[str, Group]:
         """Return which server belongs to which group."""
         return {
             member.server_id: group
@@ -129,10 +131,10 @@
             for member in group.record.members
         }
 
-    def _take(self, keys: frozenset[str]) -> None:
+    def _apply_changes(self, keys: frozenset[str]) -> None:
         for key in keys:
             name = key.removeprefix(GROUPS_PREFIX)
-            item = self.source.items.get(key)
+            item = self.kv_mirror.items.get(key)
             if item is None:
                 self.remove(name)
                 continue
@@ -142,9 +144,9 @@
                 events.log(LOGGER, events.Event.GROUP_UNREADABLE, group=name, reason=str(error))
 
 
-def members_of(group: Group, known: registry.Registry) -> list[servers.Server]:
+def find_members(group: Group, server_registry: registry.Registry) -> list[servers.Server]:
     """Return what is known of a group's members, registered or lapsed."""
-    found = (known.find(member.incarnation) for member in group.record.members)
+    found = (server_registry.find(member.incarnation) for member in group.record.members)
     return [server for server in found if server is not None]
 
 
--- a/toucanhold/routes/table.py
+++ b/toucanhold/routes/table.py
@@ -193,7 +193,7 @@
                 return route
         return None
 
-    def engines(self) -> list[Service]:
+    def model_services(self) -> list[Service]:
         """Return the model services."""
         return [service for service in self.services.values() if service.engine is not None]
 
