--- a/toucanhold/replicas/__init__.py
+++ b/toucanhold/replicas/__init__.py
@@ -1,1 +1,1 @@
-"""Groups of backend servers that together hold one replica of a model."""
+"""Replicas of model services: groups of backend servers that together run one model."""
--- a/toucanhold/replicas/composition.py
+++ b/toucanhold/replicas/composition.py
@@ -1,4 +1,4 @@
-"""Which groups to form of which servers: a decision without network or clock."""
+"""Decides which servers form groups and which spares preload a model, without I/O or a clock."""
 
 from __future__ import annotations
 
@@ -11,14 +11,18 @@
 from toucanhold.replicas import conversion, fitness
 from toucanhold.routes import table
 
-# Two groups a domain and two spares are what domains of nine leave over beside groups of four
-# and three. A loss then finds its replacement in the domain, where joining takes 0.2 s.
+# A domain of nine servers holds a group of four, a group of three and two spares. A lost member is
+# then replaced from its own domain, where a server that has the model loaded joins in 0.2 s.
 SPARE_FRACTION = 2 / 9
 
 
 @attrs.frozen
 class Placement:
-    """A group to form; the first member is the head."""
+    """Servers chosen for a new group.
+
+    :ivar model: name of the model that the group runs
+    :ivar members: servers by rank; the first is the head
+    """
 
     model: str
     members: tuple[servers.Server, ...]
@@ -26,7 +30,10 @@
 
 @attrs.frozen
 class Preload:
-    """A spare server that is to hold a model ready."""
+    """A spare server that should load a model before a group needs it.
+
+    :ivar model: name of the model to load
+    """
 
     model: str
     server: servers.Server
@@ -34,18 +41,18 @@
 
 @attrs.frozen
 class ServiceSnapshot:
-    """What a decision is made from.
-
-    :ivar free_servers: servers that belong to no group and may be used, by domain
-    :ivar group_counts: groups that serve or form, by model
-    :ivar usable_count: servers of the service that are there, in groups or not
-    :ivar zone_counts: groups by model and availability zone
-    :ivar domain_counts: groups by model and domain
-    :ivar ending_counts: groups by domain that are being taken apart: their servers are soon free
-    :ivar loading_counts: spares by domain that load a model
-    :ivar closed_zones: availability zones that get no work
-    :ivar groups: groups that serve or form in open zones
-    :ivar ending_members: members of groups that are being taken apart, by domain
+    """The state of one model service that placement decisions are based on.
+
+    :ivar free_servers: usable servers that belong to no group, by domain
+    :ivar group_counts: number of serving or forming groups in open zones, by model
+    :ivar usable_count: number of usable servers in open zones, in groups or not
+    :ivar zone_counts: number of serving or forming groups, by model and availability zone
+    :ivar domain_counts: number of serving or forming groups, by model and domain
+    :ivar ending_counts: number of groups being torn down, by domain; their servers are free soon
+    :ivar loading_counts: number of spares that are loading a model, by domain
+    :ivar closed_zones: availability zones that get no requests
+    :ivar groups: serving or forming groups in open zones
+    :ivar ending_members: members of groups that are being torn down, by domain
     """
 
     engine: table.Engine
@@ -64,7 +71,10 @@
 
 
 def target_group_counts(engine: table.Engine, usable_count: int) -> dict[str, float]:
-    """Return how many groups of each model the servers should form, spares aside."""
+    """Return the target number of groups by model name: at least 1 each, may be fractional.
+
+    :param usable_count: usable servers, of which :data:`SPARE_FRACTION` are kept as spares
+    """
     total_share = sum(model.share for model in engine.models) or 1.0
     workable = usable_count * (1 - SPARE_FRACTION)
     return {
@@ -75,14 +85,17 @@
 
 @attrs.define
 class PlacementPlanner:
-    """Decides for one service from one situation.
+    """Plans placements, preloads and conversions for one service from one snapshot.
+
+    A group stays within a fabric domain. A group that spans domains is much slower, and its
+    callers would wait longer in it than they would for a free slot elsewhere.
 
-    A group stays within a fabric domain. One that spans several is slower by far, and what it
-    takes on slowly it also keeps: its callers wait for longer than they would for a free place.
+    Loading a model from the weight store takes about 15 s, and a group that waits for such a member
+    blocks the members that are ready. Except for the first groups, servers therefore load models
+    one by one as spares, and groups are formed only of servers that join within seconds.
 
-    A group whose members must first load the model for a quarter of a minute would hold those
-    that need not; so but for the first groups of all, members load one by one as spares, and a
-    group is formed of servers that join within seconds.
+    :ivar target_counts: target number of groups, by model
+    :ivar group_counts: serving, forming and newly placed groups, by model
     """
 
     snapshot: ServiceSnapshot
@@ -94,7 +107,7 @@
     _reserved_domains: set[str] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Copy what changes while groups are chosen."""
+        """Copy the parts of the snapshot that change with each placement."""
         snapshot = self.snapshot
         self.target_counts = target_group_counts(snapshot.engine, snapshot.usable_count)
         self.group_counts = dict(snapshot.group_counts)
@@ -106,7 +119,7 @@
         self._reserved_domains = conversion.reserved_domains(self._capacity())
 
     def placements(self) -> list[Placement]:
-        """Return the groups to form now, most needed first."""
+        """Return the groups to form now, starting with the model of the least coverage."""
         chosen: list[Placement] = []
         while (placement := self._next_placement()) is not None:
             chosen.append(placement)
@@ -114,7 +127,7 @@
         return chosen
 
     def next_conversion(self) -> conversion.Conversion | None:
-        """Return what to do for a model that starves, after the formations of this decision."""
+        """Return the next conversion step that is still needed after the placements, if any."""
         return conversion.next_conversion(self._capacity())
 
     def _capacity(self) -> conversion.CapacitySnapshot:
@@ -134,7 +147,7 @@
         )
 
     def preloads(self) -> list[Preload]:
-        """Return which of the servers that are left should load which model."""
+        """Return the models that the remaining free servers should load."""
         chosen = [
             each for model in self._models_without_group() for each in self._preloads_for(model)
         ]
@@ -151,13 +164,13 @@
                     ready[model.name] += 1
                     chosen.append(Preload(model.name, server))
                 elif not server.model:
-                    # Holding a model in memory saves more than a second when it is needed.
+                    # Loading a staged model into memory now saves more than a second later.
                     chosen.append(Preload(server.staged[0], server))
         return chosen
 
     def _models_without_group(self) -> list[table.Model]:
-        """Return the models that no group serves, beside others that have one."""
-        # A group that is being taken apart may be the model's only one, and back in a moment.
+        """Return the models that no group serves while other models have groups."""
+        # A group that is being torn down may be its model's only one and be re-formed at once.
         if not any(self.group_counts.values()) or any(self.snapshot.ending_counts.values()):
             return []
         return [
@@ -165,10 +178,10 @@
         ]
 
     def _preloads_for(self, model: table.Model) -> list[Preload]:
-        """Return which spares of one domain should load a model that no group serves.
+        """Return the preloads of one domain that allow a group of an unserved model to form.
 
-        Spares that hold another model load nothing by themselves: where they are all that is free,
-        the model's callers were refused for good. Those of one domain are enough for a group.
+        Spares that hold another model are otherwise not reloaded. Where only such spares were
+        free, the model's callers were refused permanently. One domain suffices for a group.
         """
         loading_counts = self.snapshot.loading_counts
         candidate_domains = [
@@ -213,16 +226,16 @@
     def _may_place(
         self, model: table.Model, members: list[servers.Server], is_underprovisioned: bool
     ) -> bool:
-        # A group beyond those wanted must leave the spares that replace the next loss.
+        # A group above the target must leave enough spares to replace the next lost members.
         reserve = 0 if is_underprovisioned else max(2, math.ceil(model.size / 2))
         if len(members) < model.size + reserve:
             return False
         slowest_s = max(
             fitness.join_time_s(member, model) for member in _select_members(model, members)
         )
-        # Groups in zones that are out count as well. Without them a group that lost a member while
-        # its zone's neighbour was out was taken for the first of all: its survivors loaded the
-        # other model, and their own was served by nobody from then on.
+        # Groups in closed zones count as well. Without them, a group that lost a member while
+        # another zone was closed was treated as the first group of all: its remaining members
+        # loaded the other model, and their own model was no longer served.
         is_first = not self.snapshot.zone_counts and not self.snapshot.ending_counts
         return is_first or slowest_s <= max(model.warm_s, fitness.REJOIN_TIME_S)
 
@@ -239,9 +252,9 @@
         )
 
     def _displaced_larger_groups(self, model: table.Model, domain: str) -> int:
-        """Return the groups of larger models that are short and would no longer fit there.
+        """Return how many groups of larger underprovisioned models would no longer fit.
 
-        Small groups that are spread over all domains leave none that can hold a large one.
+        Small groups spread over all domains would leave no domain with room for a large group.
         """
         before = len(self._free_servers[domain])
         after = before - model.size
@@ -270,8 +283,9 @@
         return self.group_counts.get(model, 0) / self.target_counts[model]
 
     def _model_to_preload(self, ready: collections.abc.Mapping[str, int]) -> table.Model:
-        # The spares of a domain serve to fill a group up: of each model some, and more of that
-        # of which groups are missing. Survivors that lack few come first.
+        # Spares complete groups that lost members, so a domain needs some for each model, and more
+        # for underprovisioned models. Models whose loaded servers are closest to a whole group
+        # come first.
         def preload_cost(model: table.Model) -> tuple[float, float, int]:
             loaded_fraction = ready[model.name] / model.size
             missing = (
--- a/toucanhold/replicas/conversion.py
+++ b/toucanhold/replicas/conversion.py
@@ -1,8 +1,8 @@
-"""Giving up groups of other models for one that starves: a decision without network or clock.
+"""Decides which servers are converted to an underserved model, without I/O or a clock.
 
-Survivors of a large group keep their model, and small groups fill the rest of their domains. Once a
-large group has lost more members than its domain has spares, it never forms again by itself, and
-its callers are refused for good beside idle survivors.
+The remaining members of a large group keep their model, and small groups occupy the rest of their
+domain. Once a large group has lost more members than its domain has spares, it cannot form again
+without a conversion: its callers would be refused permanently while its servers are idle.
 """
 
 from __future__ import annotations
@@ -15,15 +15,16 @@
 from toucanhold.replicas import fitness
 from toucanhold.routes import table
 
-# A model starves below this part of what another model has, each against what it should have.
+# A model is underserved if its coverage is below this fraction of the best covered model's.
 UNDERSERVED_RATIO = 1 / 3
-# Idle servers load a model beside survivors that lack this part of a group at most.
+# Without preemption, idle servers load a model only where at most this fraction of a group's
+# members lack it.
 MAX_MISSING_FRACTION = 0.5
 
 
 @attrs.frozen
 class ServingGroup:
-    """A group that could be given up."""
+    """A serving or forming group that may be preempted."""
 
     name: str
     model: str
@@ -33,13 +34,13 @@
 
 @attrs.frozen
 class CapacitySnapshot:
-    """Groups by model, and what they stand on.
+    """Groups by model and the servers available to them.
 
-    :ivar target_counts: groups that the servers should form, by model
-    :ivar group_counts: groups that serve or form, by model
-    :ivar free_servers: servers in no group, by domain
-    :ivar groups: groups in open availability zones
-    :ivar ending_members: members of groups that are being taken apart, by domain
+    :ivar target_counts: target number of groups, by model
+    :ivar group_counts: number of serving or forming groups, by model
+    :ivar free_servers: servers that belong to no group, by domain
+    :ivar groups: serving or forming groups in open availability zones
+    :ivar ending_members: members of groups that are being torn down, by domain
     """
 
     engine: table.Engine
@@ -50,16 +51,19 @@
     ending_members: collections.abc.Mapping[str, collections.abc.Sequence[servers.Server]]
 
     def coverage(self, model: str, change: int = 0) -> float:
-        """Return the part of the wanted groups that there are, or would be after a change."""
+        """Return the ratio of existing groups to the target.
+
+        :param change: groups to add to (or, if negative, remove from) the count first
+        """
         return (self.group_counts.get(model, 0) + change) / self.target_counts[model]
 
 
 @attrs.frozen
 class Conversion:
-    """The next step towards one more group of a starved model.
+    """The next step towards one more group of an underprovisioned model.
 
-    :ivar to_stage: servers whose hosts are to load the model beside their present work
-    :ivar preempted: names of groups to take apart once no host is left to load
+    :ivar to_stage: servers whose hosts should load the model while the servers keep working
+    :ivar preempted: names of the groups to tear down once ``to_stage`` is empty
     """
 
     model: table.Model
@@ -69,7 +73,7 @@
 
 
 def underserved_model(capacity: CapacitySnapshot) -> table.Model | None:
-    """Return the model that starves beside another one, if any."""
+    """Return the model with far less coverage than another one, if any."""
     models = capacity.engine.models
     if len(models) < 2:
         return None
@@ -83,7 +87,7 @@
 
 
 def most_underprovisioned_model(capacity: CapacitySnapshot) -> table.Model | None:
-    """Return the model that has the least of what it should, if it lacks half a group or more."""
+    """Return the model with the least coverage if it is more than half a group below target."""
     least_covered = min(capacity.engine.models, key=lambda model: capacity.coverage(model.name))
     is_underprovisioned = (
         capacity.group_counts.get(least_covered.name, 0) + 0.5
@@ -93,10 +97,10 @@
 
 
 def reserved_domains(capacity: CapacitySnapshot) -> set[str]:
-    """Return the domains whose free servers the starved model needs.
+    """Return the domains whose free servers are reserved for the underserved model.
 
-    Its group forms once groups there are apart; until then their first servers must not join
-    another model's group again.
+    Its group can form once the groups that are ending there are torn down. Until then, the servers
+    that are free first must not join a group of another model.
     """
     model = underserved_model(capacity)
     if model is None:
@@ -113,10 +117,10 @@
 
 
 def next_conversion(capacity: CapacitySnapshot) -> Conversion | None:
-    """Return the next step, in the domain where it costs least.
+    """Return the next conversion step, in the domain with the least cost; None if none is needed.
 
-    Hosts of idle servers load a model that is short beside its survivors; groups are given up only
-    for a model that starves.
+    Hosts of idle servers may load any underprovisioned model. Groups are preempted only for an
+    underserved model.
     """
     model = most_underprovisioned_model(capacity)
     if model is None or len(capacity.engine.models) < 2:
@@ -133,7 +137,7 @@
 def _conversion_in(
     capacity: CapacitySnapshot, model: table.Model, domain: str
 ) -> Conversion | None:
-    """Return what one more group of the model costs in a domain; None where it cannot be."""
+    """Return the step towards one more group of the model in a domain; None if impossible."""
     if capacity.ending_members.get(domain):
         return None
     pool = list(capacity.free_servers.get(domain, ()))
@@ -167,7 +171,7 @@
 ) -> bool:
     if preempted and underserved_model(capacity) is None:
         return False
-    # Else the other model starves next, and takes its servers back.
+    # Otherwise the other model would become underserved next and take its servers back.
     after = capacity.coverage(model.name, 1)
     for other in capacity.engine.models:
         lost = sum(group.model == other.name for group in preempted)
--- a/toucanhold/replicas/driver.py
+++ b/toucanhold/replicas/driver.py
@@ -1,4 +1,4 @@
-"""One group's way from its record to serving, and back to free servers."""
+"""Drives one group from its record to serving, and tears it down when it ends."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 from toucanhold.registry import registry, servers
 from toucanhold.replicas import order_sender, orders, plan, records
 
-# Orders without an effect are given again after this time; joins of loaded models take 0.2 s.
+# Retry interval of orders that have had no effect; a join with a loaded model takes 0.2 s.
 ORDER_AGAIN_S = 1.0
-# Above the longest load (16 s) with several loads at once.
+# Must exceed the longest model load (16 s) while several loads run concurrently.
 FORMING_TIMEOUT_S = 45.0
-# Streams of a planned ending may finish for this long: most take under 3 s.
+# Running requests of a group that ends by plan may finish for this long; most take under 3 s.
 DRAIN_TIMEOUT_S = 5.0
-# Added to the time after which a head without its members breaks by itself.
+# Added to the stall timeout after which a head without all its members breaks by itself.
 STALL_MARGIN_S = 0.5
-# Servers of a group that nobody has reached for so long are taken for dead. Cuts are over sooner.
+# Servers of an ending group that stay unreachable for this long are considered dead. Network
+# partitions end sooner.
 PARTITION_TIMEOUT_S = 60.0
 CHECK_INTERVAL_S = 0.25
-# Until then a head whose registration has lapsed was asked.
+# A head whose registration has lapsed is probed within this time.
 LAPSED_HEAD_TIMEOUT_S = 0.6
 
 LOGGER = logging.getLogger(__name__)
@@ -35,9 +36,12 @@
 class GroupDriver:
     """Drives one group while this entry is the planner.
 
-    It decides anew from the record and from what the servers report, so it can begin anywhere: a
-    new planner adopts what its predecessor left, whole groups without touching them.
+    Each step is decided from the group's record and the states that its servers report, without
+    history. A new planner can therefore take over at any point, and leaves complete groups as they
+    are.
 
+    :ivar name: name of the group
+    :ivar changed: wakes the driver when a record or a registration has changed
     :ivar stall_s: time after which a head that lacks a member breaks by itself
     """
 
@@ -56,12 +60,13 @@
     _has_served: bool = attrs.field(default=False, init=False)
 
     async def run(self) -> None:
-        """Drive until the group is removed, or this entry is no longer the planner."""
+        """Run until the group is removed or this entry is no longer the planner."""
         try:
             while (group := self.group_table.groups.get(self.name)) is not None:
                 await self._step(group)
         except* order_sender.NotPlannerError:
-            # Raised in a nursery of orders it comes as a group; as such it once ended the process.
+            # A nursery raises it as an exception group, which ended the process when only the
+            # bare exception was caught.
             LOGGER.debug("%s: no longer the planner", self.name)
 
     async def _step(self, group: records.Group) -> None:
@@ -122,15 +127,16 @@
         self._head_missing_since_s = (
             self._head_missing_since_s if self._head_missing_since_s is not None else now_s
         )
-        # It is asked meanwhile, with others of its zone, which may be cut off as a whole.
+        # Meanwhile the prober probes it together with other servers of its zone, which may be
+        # partitioned as a whole.
         return now_s - self._head_missing_since_s > LAPSED_HEAD_TIMEOUT_S
 
     def _may_be_partitioned(self, group: records.Group) -> bool:
-        """Tell whether what is missing of a group may only be out of the planner's reach."""
+        """Return whether the group may be intact behind a partition from the planner."""
         head = self.server_registry.find(group.head.incarnation)
         if head is None or not self.order_sender.reachability.is_partitioned(head.zone):
             return False
-        # A member that has started again ends the group wherever it is.
+        # A member that has restarted ends the group even behind a partition.
         return all(
             self.server_registry.may_be_alive(member.incarnation) for member in group.record.members
         )
@@ -153,8 +159,8 @@
                     nursery.start_soon(self.order_sender.send, server, order)
 
     async def _open(self, group: records.Group) -> None:
-        # Nobody but the planner checks the other members: each has reported by now that it is
-        # ready under this very name, epoch and list.
+        # Only the planner checks the other members: each has reported that it is ready under this
+        # group name, epoch and member list.
         state = self._state(group.head, group)
         if state is servers.GroupState.OPEN:
             if not self._has_served:
@@ -169,7 +175,7 @@
                     formed_in_s=round(trio.current_time() - self._started_at_s, 3),
                 )
             return
-        # A head whose registration has lapsed gets no requests; it is asked before the group ends.
+        # A head whose registration has lapsed gets no requests; it is probed before the group ends.
         head = self.server_registry.servers.get(group.head.server_id)
         if state is servers.GroupState.READY and head is not None and self._is_order_due("open"):
             await self.order_sender.send(head, orders.Open(group.name, group.epoch))
@@ -182,7 +188,7 @@
         return True
 
     async def _tear_down(self, group: records.Group) -> bool:
-        """Do the next thing towards free servers; tell whether they are."""
+        """Take the next step of the teardown; return whether all servers are free."""
         self._ending_since_s = self._ending_since_s or trio.current_time()
         if self._has_head_restarted(group):
             return True
@@ -198,13 +204,13 @@
         return await self._detach_head(group, head)
 
     async def _probe_if_lapsed(self, head: servers.Server | None) -> servers.Server | None:
-        # A lapsed registration no longer tells that the head has closed its group.
+        # A lapsed registration no longer shows whether the head has closed its group.
         if head is None or self.server_registry.is_registered(head.incarnation):
             return head
         return await self.order_sender.probe(head)
 
     def _has_head_restarted(self, group: records.Group) -> bool:
-        """Tell whether the head has certainly ended: it has started again since."""
+        """Return whether the head has restarted since, so that its former process has ended."""
         head = self.server_registry.servers.get(group.head.server_id)
         return head is not None and head.incarnation != group.head.incarnation
 
@@ -215,23 +221,26 @@
             for member in group.record.members
         )
         in_time = trio.current_time() - self._ending_since_s < DRAIN_TIMEOUT_S
-        # Without all its members the head finishes nothing; to wait would hold the others idle.
+        # Without all its members the head cannot finish any request, and waiting would only keep
+        # the other members idle.
         finishes_work = is_whole and in_time
         if self._is_order_due(f"close {finishes_work}"):
             order = orders.Close(group.name, group.epoch, finishes_work)
             await self.order_sender.send(head, order)
 
     async def _detach_head(self, group: records.Group, head: servers.Server) -> bool:
-        # An order to open whose answer was lost may still be carried out. One more order moves
-        # the count on that the late one expects.
+        # An Open order whose answer was lost may still arrive. One more order increments the order
+        # count, so the late one is refused.
         outcome = await self.order_sender.send(head, orders.Leave(group.name, group.epoch))
         return outcome in (orders.OrderOutcome.BEGUN, orders.OrderOutcome.HOLDS)
 
     async def _detach_and_await_stall(self, group: records.Group) -> bool:
-        """Take the other members from a head that cannot be asked, and let it break by itself.
+        """Detach the other members from an unreachable head and wait until it breaks by itself.
 
-        Nobody can tell from here whether the head is dead or only cut off with its group open. A
-        head that lacks a member breaks after a known time; until then its members stay its own.
+        The planner cannot distinguish a dead head from a partitioned one with an open group. A head
+        that lacks a member breaks after ``stall_s``; its members may not be reused before that.
+
+        :returns: whether the head has certainly broken or is considered dead
         """
         if (
             not self._members_left_at_s
@@ -242,12 +251,12 @@
         now_s = trio.current_time()
         if self._members_left_at_s:
             return now_s - self._members_left_at_s > self.stall_s + STALL_MARGIN_S
-        # Where a whole zone is cut off, head and members work on as a group. Once they are reached
-        # again they would join other groups beside it, if its record were gone by then.
+        # If a whole zone is partitioned, the head and its members keep working as a group. If its
+        # record were removed meanwhile, they would join other groups while it is still open.
         return now_s - self._ending_since_s > PARTITION_TIMEOUT_S
 
     async def _detach_members(self, group: records.Group) -> bool:
-        """Tell all members but the head to leave; return whether one has left."""
+        """Order all members but the head to leave; return whether at least one has left."""
         outcomes: list[orders.OrderOutcome] = []
 
         async def detach(server: servers.Server) -> None:
--- a/toucanhold/replicas/order_sender.py
+++ b/toucanhold/replicas/order_sender.py
@@ -1,4 +1,4 @@
-"""Giving orders so that a late or doubled one can do no harm."""
+"""Sends orders to engines such that delayed or duplicated orders have no effect."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 from toucanhold.registry import registry, servers
 from toucanhold.replicas import orders, reachability
 
-# A server that does not answer is not asked again, nor used in a new group, for this long; a
-# registration lapses after three heartbeats of 1.2 s.
+# How long a server that did not answer is considered unreachable and not used in new groups. A
+# registration lapses after three missed heartbeats of 1.2 s.
 UNREACHABLE_PERIOD_S = 4.0
 
-# A report is answered in milliseconds, but a lost packet is sent again only after 0.2 to 1 s. A
-# second question on a connection of its own, this much later, outlives that: where links lose one
-# packet in forty, nearly half of all looks at groups of sixteen missed a sound member.
+# Servers answer a probe within milliseconds, but TCP retransmits a lost packet only after 0.2 to
+# 1 s. A second probe on its own connection, sent after this delay, avoids that wait: without it, at
+# a packet loss of one in forty, nearly half of all probes of groups of sixteen missed a healthy
+# member.
 SECOND_PROBE_DELAY_S = 0.12
 PROBE_TIMEOUT_S = 0.4
 
-# Part of the timeout in which other servers that were asked at the same moment are noted as well.
+# Part of the probe timeout left for the results of other servers that were probed at the same time.
 PROBE_SETTLE_S = 0.05
 
-# Reports tell what was true up to 0.2 s ago.
+# Servers report their state as it was up to 0.2 s ago.
 MAX_REPORT_AGE_S = 0.25
 
 LOGGER = logging.getLogger(__name__)
@@ -38,9 +39,10 @@
 
 @attrs.define(eq=False)
 class OrderSender:
-    """Gives orders to servers, one at a time each, while this entry is the planner.
+    """Sends orders to servers, one at a time per server, while this entry is the planner.
 
-    :ivar fence: returns the planner's fencing number; 0 where it may not act
+    :ivar fence: returns the planner's fencing number, or 0 if this entry may not send orders
+    :ivar reachability: the results of recent probes, by availability zone
     """
 
     engine_client: orders.EngineClient
@@ -56,22 +58,22 @@
     )
 
     def is_unreachable(self, incarnation: tuple[str, int]) -> bool:
-        """Tell whether a server did not answer a moment ago."""
+        """Return whether a server failed to answer within :data:`UNREACHABLE_PERIOD_S`."""
         return trio.current_time() < self._unreachable_until_s.get(incarnation, 0.0)
 
     async def send(self, server: servers.Server, order: orders.Order) -> orders.OrderOutcome:
-        """Give one order; one that is refused for its count is given again with others.
+        """Send one order, and retry with another order count if the engine refuses it.
 
-        :raises NotPlannerError: when this entry may not give orders now
+        :raises NotPlannerError: if this entry may not send orders now
         """
         async with self._locks[server.server_id]:
             if server.incarnation not in self._order_counts and await self.probe(server) is None:
                 return orders.OrderOutcome.UNREACHABLE
             outcome = await self._send_once(server, order)
             if outcome is orders.OrderOutcome.REFUSED:
-                # One more order may have begun than its answer told: a late one, or one that was
-                # done so fast that its answer says only that its effect holds. Whatever the
-                # number, an order that begins moves the count past all that came before it.
+                # The engine may have begun one more order than its answers showed: a delayed one,
+                # or one that completed so fast that the answer said only that its effect holds.
+                # Any order that begins moves the count past all earlier orders.
                 self._order_counts[server.incarnation] += 1
                 outcome = await self._send_once(server, order)
             if outcome is orders.OrderOutcome.REFUSED:
@@ -81,19 +83,19 @@
     async def _send_after_probe(
         self, server: servers.Server, order: orders.Order
     ) -> orders.OrderOutcome:
-        # A report tells the count as it was a moment ago; asked at once it brings back the number
-        # that has just been refused, and the group waits a second for the next try.
+        # Reports lag behind: an immediate probe would return the order count that has just been
+        # refused, and the group would wait a second for the next attempt.
         await trio.sleep(MAX_REPORT_AGE_S)
         if await self.probe(server) is None:
             return orders.OrderOutcome.UNREACHABLE
         return await self._send_once(server, order)
 
     async def probe(self, server: servers.Server) -> servers.Server | None:
-        """Ask a server for its present state; None where it does not answer."""
+        """Return the server's current state, or None if it does not answer or has restarted."""
         report = await self._probe_twice(server)
         self.reachability.record_probe(server, report is not None)
         if report is None:
-            # Servers that were asked together are judged together.
+            # Wait until all servers that were probed together have their results recorded.
             await trio.sleep(PROBE_SETTLE_S)
         if report is None or report.incarnation != server.incarnation:
             self._mark_unreachable(server.incarnation)
@@ -119,7 +121,7 @@
         return report[0] if report else None
 
     async def _send_once(self, server: servers.Server, order: orders.Order) -> orders.OrderOutcome:
-        # The process may have been paused since the decision; another planner acts by then.
+        # The process may have been paused since the decision, and another planner elected.
         fence = self.fence()
         if not fence:
             raise NotPlannerError(server.server_id)
--- a/toucanhold/replicas/orders.py
+++ b/toucanhold/replicas/orders.py
@@ -1,4 +1,4 @@
-"""Orders to the engines of model services."""
+"""Defines the orders to the engines of model services and the client that sends them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,12 @@
 
 
 class OrderOutcome(enum.Enum):
-    """What is known after an order was sent."""
+    """The result of sending an order.
+
+    ``BEGUN``: the engine has begun to carry it out. ``HOLDS``: its effect is already in place.
+    ``REFUSED``: the engine rejected it, for example for its order count. ``LOST``: the answer is
+    missing, so the order may or may not take effect. ``UNREACHABLE``: the engine did not get it.
+    """
 
     BEGUN = "begun"
     HOLDS = "holds"
@@ -22,9 +27,9 @@
 
 @attrs.frozen
 class Join:
-    """Load a model, if need be, and be a member of a group.
+    """Join a group, and load the model first if it is not loaded.
 
-    :ivar members: names by rank; the first is the head
+    :ivar members: server names by rank; the first is the head
     """
 
     group: str
@@ -35,7 +40,7 @@
 
 @attrs.frozen
 class Open:
-    """Let the head of a group take requests."""
+    """Make the head of a group accept requests."""
 
     group: str
     epoch: int
@@ -43,9 +48,9 @@
 
 @attrs.frozen
 class Close:
-    """Let the head of a group take no more requests.
+    """Make the head of a group stop accepting requests.
 
-    :ivar finishes_work: whether requests that run are finished first
+    :ivar finishes_work: whether running requests are finished first
     """
 
     group: str
@@ -55,7 +60,7 @@
 
 @attrs.frozen
 class Leave:
-    """Be no member of the group any more, at once."""
+    """Leave the group at once."""
 
     group: str
     epoch: int
@@ -63,7 +68,7 @@
 
 @attrs.frozen
 class Stage:
-    """Load a model onto the host, beside whatever the server does."""
+    """Load a model onto the server's host while the server keeps working."""
 
     model: str
 
@@ -72,18 +77,18 @@
 
 
 class EngineClient(abc.ABC):
-    """The calls to engines."""
+    """Client for the calls to engines."""
 
     @abc.abstractmethod
     async def send(
         self, server: servers.Server, order: Order, order_count: int, fence: int
     ) -> OrderOutcome:
-        """Send an order that takes effect only if nothing else was ordered meanwhile.
+        """Send an order that takes effect only if the engine has begun no other order since.
 
-        :param order_count: orders that the engine must have begun so far
-        :param fence: grows with each planner
+        :param order_count: number of orders that the engine must have begun so far
+        :param fence: fencing number, which grows with each planner
         """
 
     @abc.abstractmethod
     async def probe(self, server: servers.Server) -> servers.Server | None:
-        """Return what the server says of itself now, or None where it does not answer."""
+        """Return the server's current state, or None if it does not answer."""
--- a/toucanhold/replicas/plan.py
+++ b/toucanhold/replicas/plan.py
@@ -1,4 +1,4 @@
-"""Writing groups so that only the present planner's writes take effect, in their order."""
+"""Writes group records such that only the current planner's writes take effect, in order."""
 
 from __future__ import annotations
 
@@ -14,26 +14,27 @@
 
 PLANNER_KEY = "toucanhold/planner"
 PLAN_KEY = "toucanhold/plan"
-# The shortest lease that survives one lost renewal: it is renewed four times in this time.
+# Lease time to live. It is renewed four times in this period; a shorter lease would lapse after one
+# lost renewal.
 PLANNER_LEASE_S = 2
 
-# The key-value service takes 32 rows in one write; two are conditions and one the plan's mark.
+# The key-value service accepts 32 rows per commit; two are conditions and one is the plan key.
 MAX_GROUPS_PER_WRITE = 24
 
 LOGGER = logging.getLogger(__name__)
 
 
 class PlanWriteError(Exception):
-    """A change of the plan was not written, or perhaps not."""
+    """A group record was not written, or it is unknown whether it was."""
 
 
 @attrs.define(eq=False)
 class PlanWriter:
-    """Writes of one planner.
+    """Writes the group records of one planner.
 
-    Each write moves the plan's key on from the revision that the writer has seen. So a write whose
-    answer was lost cannot take effect any more once a later one has, and none of an earlier
-    planner can: two groups could otherwise come to share a server.
+    Each commit also updates :data:`PLAN_KEY`, on condition that its revision is the one that the
+    writer has seen. A commit whose answer was lost can thus not take effect after a later one, nor
+    can any commit of an earlier planner. Otherwise two groups could share a server.
     """
 
     kv_client: keyvalue.KeyValueClient
@@ -46,14 +47,14 @@
     async def create(self, drafts: list[records.GroupRecord]) -> list[records.Group]:
         """Write new groups, at most :data:`MAX_GROUPS_PER_WRITE`.
 
-        :raises PlanWriteError: when that failed
+        :raises PlanWriteError: if the commit failed or a member already belongs to a group
         """
         async with self._lock:
-            # A write that was taken for lost may have taken effect since the decision.
+            # A commit that seemed to have failed may have taken effect since the decision.
             groups_by_server = self.group_table.groups_by_server()
             members = [member for draft in drafts for member in draft.members]
             if any(member.server_id in groups_by_server for member in members):
-                raise PlanWriteError("a server has been taken meanwhile")
+                raise PlanWriteError("a server already belongs to another group")
             revision = await self._write([self._put_write(draft) for draft in drafts])
         groups = [records.Group(draft, revision, revision) for draft in drafts]
         for group in groups:
@@ -61,9 +62,9 @@
         return groups
 
     async def mark_ending(self, group: records.Group) -> None:
-        """Let no entry send new work to a group.
+        """Mark a group as ending, so that no entry sends it new requests.
 
-        :raises PlanWriteError: when that failed
+        :raises PlanWriteError: if the commit failed
         """
         record = attrs.evolve(group.record, phase=records.Phase.ENDING)
         async with self._lock:
@@ -71,9 +72,9 @@
         self.group_table.put(records.Group(record, group.epoch, revision))
 
     async def remove(self, group: records.Group) -> None:
-        """Delete a group whose servers are free.
+        """Delete the record of a group whose servers are free.
 
-        :raises PlanWriteError: when that failed
+        :raises PlanWriteError: if the commit failed
         """
         async with self._lock:
             await self._write([keyvalue.Write(records.GROUPS_PREFIX + group.name, None)])
@@ -94,13 +95,13 @@
             events.log(LOGGER, events.Event.PLAN_WRITE_FAILED, reason=str(error))
             raise PlanWriteError(str(error)) from error
         if not result.succeeded:
-            raise PlanWriteError("the plan has changed meanwhile")
+            raise PlanWriteError("the plan or the planner has changed since the last read")
         self._last_written_revision = result.revision
         return result.revision
 
     def _expected_revision(self) -> int:
-        # The mirror's revision is that of the groups on the board; a read of its own could be
-        # ahead of them, and the write would then rest on groups that nobody here has seen.
+        # The mirror's revision matches the group table. A separate read could be ahead of it, and
+        # the commit would then rely on groups that this process has not seen.
         if self._last_written_revision is not None:
             return self._last_written_revision
         item = self.kv_mirror.items.get(PLAN_KEY)
@@ -111,5 +112,5 @@
 
 
 def new_group_name() -> str:
-    """Return a name that no other group has or had."""
+    """Return a random name that is unique over time."""
     return "g" + uuid.uuid4().hex[:12]
--- a/toucanhold/replicas/planner.py
+++ b/toucanhold/replicas/planner.py
@@ -1,4 +1,4 @@
-"""The planner: forms groups, keeps them whole, and holds spares ready."""
+"""Plans the groups of all model services: forms and repairs groups, and preloads spares."""
 
 from __future__ import annotations
 
@@ -25,18 +25,19 @@
 from toucanhold.routes import table
 
 PLAN_INTERVAL_S = 0.25
-# Registrations of a whole site arrive within a second of its start; groups planned before that
-# would leave the rest of their domains over.
+# The servers of a whole site register within a second of its start. Groups planned earlier would
+# leave servers of their domains unused.
 ARRIVAL_SETTLE_S = 0.8
-# Pause after a write that failed.
+# Delay after a failed write.
 WRITE_RETRY_S = 0.1
-# How often a spare is told again what to load.
+# Interval at which the order to preload a model is repeated to a spare.
 PRELOAD_RETRY_S = 2.0
 COUNT_INTERVAL_S = 1.0
 SPARE_PREFIX = "spare-"
-# A host that has not loaded a model by now is told again: the longest load, with several at once.
+# A host that has not staged a model within this time is ordered again. It covers the longest load
+# while several run concurrently.
 STAGE_RETRY_S = 30.0
-# A conversion takes some seconds to show; the next one is decided on what it brought.
+# A conversion takes effect after some seconds, and the next one must be based on its result.
 CONVERSION_INTERVAL_S = 10.0
 
 LOGGER = logging.getLogger(__name__)
@@ -44,9 +45,9 @@
 
 @attrs.define(eq=False)
 class Planner:
-    """Plans while this entry holds the lease.
+    """Plans groups while this entry holds the planner lease.
 
-    :ivar closed_zones: returns the availability zones that get no work
+    :ivar closed_zones: returns the availability zones that get no requests
     :ivar stall_s: time after which a head that lacks a member breaks by itself
     """
 
@@ -72,7 +73,7 @@
     _last_conversion_s: float = attrs.field(default=float("-inf"), init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Follow what the planner decides from."""
+        """Subscribe to registrations, group records and the planner key."""
         self.order_sender = order_sender.OrderSender(
             self.engine_client, self.server_registry, self._fence
         )
@@ -84,11 +85,11 @@
         self.kv_mirror.listen(plan.PLANNER_KEY, lambda keys: self._changed.wake())
 
     def may_act(self) -> bool:
-        """Tell whether this entry is the planner and has seen all that was written before."""
+        """Return whether this entry is the planner and has seen all earlier planners' writes."""
         return bool(self._fence())
 
     def suspect(self, server_id: str) -> None:
-        """Take note that a head has fallen silent, seen by this or another entry."""
+        """Probe a head that stopped responding to this or another entry."""
         self.prober.suspect(server_id)
         self._changed.wake()
 
@@ -115,7 +116,8 @@
     def _fence(self) -> int:
         if not self.planner_lease.is_held():
             return 0
-        # Writes of an earlier planner that came before this one's election must be on the board.
+        # The group table must hold all writes of earlier planners that precede this election. The
+        # mirror has received them once it holds this election's planner key.
         item = self.kv_mirror.items.get(plan.PLANNER_KEY)
         if item is None or item.create_revision != self.planner_lease.fencing:
             return 0
@@ -195,7 +197,7 @@
     def _is_settled(self) -> bool:
         arrived = {server.incarnation for server in self.server_registry.servers.values()}
         now_s = trio.current_time()
-        # Only the first arrivals are waited for; later a new server is used at once.
+        # Wait only for the first registrations; once groups exist, a new server is used at once.
         if not self.group_table.groups and arrived - self._seen_incarnations:
             self._last_arrival_s = now_s
         self._seen_incarnations = arrived
@@ -336,17 +338,18 @@
             group=name,
             epoch=group.epoch,
             model=group.record.model,
-            reason=f"{step.model.name} starves, and its group takes these servers",
+            reason=f"{step.model.name} is underserved and needs these servers",
         )
         try:
             await self.plan.mark_ending(group)
         except plan.PlanWriteError as error:
-            LOGGER.debug("%s is not given up: %s", name, error)
+            LOGGER.debug("%s: not preempted: %s", name, error)
 
     async def _order_preload(self, preload: composition.Preload) -> None:
         server = preload.server
-        # A group of its own that nobody opens: joining another one later takes 0.2 s, which takes
-        # seconds where the model only lies on the host.
+        # The spare joins a single-server group that is never opened, which loads the model into
+        # memory. It can then join another group in 0.2 s, instead of seconds if the model were only
+        # staged on its host.
         group = f"{SPARE_PREFIX}{server.server_id}"
         epoch = max(1, self.kv_mirror.revision)
         order = orders.Join(group, epoch, preload.model, (server.server_id,))
--- a/toucanhold/replicas/probing.py
+++ b/toucanhold/replicas/probing.py
@@ -1,4 +1,4 @@
-"""Asking servers that may be dead, and others that tell a death from a cut."""
+"""Probes servers that may be dead, and witnesses that show whether a zone is partitioned."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from toucanhold.registry import registry, servers
 from toucanhold.replicas import order_sender, records
 
-# How often a member is asked whose registration has lapsed: one that is dead would hold up its
-# group for this long, if the group's streams did not tell sooner.
+# Probe interval of members whose registration has lapsed. A dead member stalls its group for up to
+# this long unless the group's streams reveal it sooner.
 LAPSED_PROBE_INTERVAL_S = 0.5
-# Servers of a zone that are asked beside some that may be dead.
+# Other servers of the same zone that are probed together with servers that may be dead.
 WITNESSES_PER_ZONE = 2
 
 
 @attrs.define(eq=False)
 class Prober:
-    """Asks members of groups whose head fell silent, and members whose registration lapsed.
+    """Probes members of groups with a suspected head, and members with a lapsed registration.
 
-    :ivar on_dead: called when a lapsed server was found dead
+    :ivar on_dead: called after a lapsed server was found dead and dropped from the registry
     """
 
     group_table: records.GroupTable
@@ -32,11 +32,11 @@
     _last_probe_s: dict[str, float] = attrs.field(factory=dict, init=False)
 
     def suspect(self, server_id: str) -> None:
-        """Take note that a head has fallen silent."""
+        """Add a head that stopped responding to the servers to probe."""
         self._suspects.add(server_id)
 
     def probe(self, nursery: trio.Nursery) -> None:
-        """Ask whom it is time to ask; what they answer is for the orderer and the registry."""
+        """Start the probes that are due; the order sender and registry record the results."""
         self._probe_suspects(nursery)
         self._probe_lapsed(nursery)
 
@@ -85,9 +85,10 @@
             self.on_dead()
 
     def _witnesses(self, probed: list[servers.Server]) -> list[servers.Server]:
-        """Return servers of the same zones to ask as well: if they are silent, the zone is cut off.
+        """Return servers of the same zones to probe as well.
 
-        Members of one group, and servers of one domain, fail together.
+        If they do not answer either, the zone is partitioned. Servers outside the groups and
+        domains in question are preferred, as members of a group or domain fail together.
         """
         chosen: list[servers.Server] = []
         names = {server.server_id for server in probed}
--- a/toucanhold/replicas/reachability.py
+++ b/toucanhold/replicas/reachability.py
@@ -1,8 +1,8 @@
-"""Telling dead servers from a cut between the planner and an availability zone.
+"""Distinguishes dead servers from a partition between the planner and an availability zone.
 
-A decision without network. A cut between two zones makes every server of the other one silent to
-the planner, while that zone's entries and the key-value service still reach them. Groups that were
-taken apart for it would serve nobody for seconds after the cut, which itself harmed none of them.
+This module does no I/O. In a partition between two zones, no server of the other zone answers the
+planner, while that zone's entries and the key-value service still reach them. If the planner tore
+these groups down, they would not serve for seconds after a partition that did not affect them.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from toucanhold.registry import servers
 
 MIN_SILENT_SERVERS = 3
-# Silences older than this tell nothing of now.
+# Failed probes older than this are ignored.
 SILENCE_MAX_AGE_S = 2.0
-# A silence is known this much later than an answer to a question of the same moment.
+# A failed probe is recorded up to this much later than an answer to a probe sent at the same time.
 PROBE_ROUND_S = 0.55
 
 
@@ -27,12 +27,12 @@
 
 @attrs.define(eq=False)
 class Reachability:
-    """Which servers answered the planner lately, by availability zone."""
+    """Tracks by availability zone which servers answered the planner's recent probes."""
 
     _zones: dict[str, _ZoneState] = attrs.field(factory=dict, init=False)
 
     def record_probe(self, server: servers.Server, has_answered: bool) -> None:
-        """Take in whether a server answered."""
+        """Record whether a server answered a probe."""
         zone = self._zones.setdefault(server.zone, _ZoneState())
         if has_answered:
             zone.last_answer_s = trio.current_time()
@@ -41,7 +41,7 @@
             zone.silent_since_s[server.server_id] = trio.current_time()
 
     def is_partitioned(self, zone_name: str) -> bool:
-        """Tell whether several servers of a zone were asked and none answered."""
+        """Return whether several servers of a zone were probed recently and none answered."""
         zone = self._zones.get(zone_name)
         if zone is None:
             return False
--- a/toucanhold/replicas/records.py
+++ b/toucanhold/replicas/records.py
@@ -1,4 +1,4 @@
-"""Groups as they stand in the key-value service."""
+"""Stores group records in the key-value service and keeps a local table of them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Phase(enum.Enum):
-    """What a planner wants of a group."""
+    """The state that the planner has requested for a group."""
 
     SERVING = "serving"
     ENDING = "ending"
@@ -25,22 +25,29 @@
 
 @attrs.frozen
 class Member:
-    """One start of one backend server."""
+    """One process of a backend server.
+
+    :ivar server_id: name of the server, which may stay the same after a restart
+    :ivar born_ms: start of the process, in Unix milliseconds
+    """
 
     server_id: str
     born_ms: int
 
     @property
     def incarnation(self) -> tuple[str, int]:
-        """What tells this start from others of the same name."""
+        """Name and start time, which distinguish the process from others of the same name."""
         return self.server_id, self.born_ms
 
 
 @attrs.frozen
 class GroupRecord:
-    """A group, written before any of its members hears of it.
+    """A group as stored, written before any of its members receives an order.
 
-    :ivar members: by rank; the first is the head, which gets the requests
+    :ivar group: name of the group
+    :ivar service: name of the model service
+    :ivar model: name of the model
+    :ivar members: members by rank; the first is the head, which receives the requests
     """
 
     group: str
@@ -52,10 +59,10 @@
 
 @attrs.frozen
 class Group:
-    """A record with the revisions that the key-value service gave it.
+    """A group record with its revisions in the key-value service.
 
-    :ivar epoch: the revision of its creation: later groups have a higher one, whoever plans them
-    :ivar revision: the revision of its last change
+    :ivar epoch: revision at its creation; higher for later groups, whichever planner creates them
+    :ivar revision: revision of its last change
     """
 
     record: GroupRecord
@@ -69,21 +76,21 @@
 
     @property
     def head(self) -> Member:
-        """The member that gets the requests."""
+        """The member that receives the requests."""
         return self.record.members[0]
 
     @property
     def is_ending(self) -> bool:
-        """Whether it is to get no new work."""
+        """Whether the group may get no new requests."""
         return self.record.phase is Phase.ENDING
 
     def is_open(self, server_registry: registry.Registry) -> bool:
-        """Tell whether the head serves and no member is known to have started again since.
+        """Return whether the head accepts requests and no member is known to have restarted.
 
-        A member whose registration has lapsed may only be cut off from the key-value service, and
-        the group works on with it: where a fifth of all servers were cut off, nearly every group
-        of sixteen was given up. The planner asks such members, and the group's streams tell
-        within a fraction of a second if nothing moves.
+        A member with a lapsed registration does not close the group, as it may only be partitioned
+        from the key-value service: otherwise, with a fifth of all servers partitioned, nearly every
+        group of sixteen was torn down. The planner probes such members, and the group's streams
+        show within a fraction of a second if it stalls.
         """
         if not server_registry.is_registered(self.head.incarnation):
             return False
@@ -97,9 +104,9 @@
 
 @attrs.define(eq=False)
 class GroupTable:
-    """All groups that the key-value service holds.
+    """Local table of all groups in the key-value service.
 
-    :ivar groups: name to group
+    :ivar groups: groups by name
     :ivar version: grows with each change
     """
 
@@ -108,23 +115,26 @@
     version: int = attrs.field(default=0, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Follow the records."""
+        """Subscribe to the group records."""
         self.kv_mirror.listen(GROUPS_PREFIX, self._apply_changes)
 
     def put(self, group: Group) -> None:
-        """Take in what this process has just written, ahead of the mirror."""
+        """Add or update a group unless a newer revision of it is known.
+
+        Also used for this process's own writes, before the mirror receives them.
+        """
         current = self.groups.get(group.name)
         if current is None or current.revision < group.revision:
             self.groups[group.name] = group
             self.version += 1
 
     def remove(self, name: str) -> None:
-        """Take in a deletion by this process."""
+        """Remove a group whose record was deleted."""
         self.groups.pop(name, None)
         self.version += 1
 
     def groups_by_server(self) -> dict[str, Group]:
-        """Return which server belongs to which group."""
+        """Return the group of each member, by server id."""
         return {
             member.server_id: group
             for group in self.groups.values()
@@ -145,22 +155,22 @@
 
 
 def find_members(group: Group, server_registry: registry.Registry) -> list[servers.Server]:
-    """Return what is known of a group's members, registered or lapsed."""
+    """Return the members of a group that the registry knows, registered or lapsed."""
     found = (server_registry.find(member.incarnation) for member in group.record.members)
     return [server for server in found if server is not None]
 
 
 def decode(item: keyvalue.Item) -> Group:
-    """Read a stored record.
+    """Decode a stored group record.
 
-    :raises codec.CodecError: when it has another shape
+    :raises codec.CodecError: if the value is malformed or lists no members
     """
     record = codec.from_json(item.value, GroupRecord)
     if not record.members:
-        raise codec.CodecError("a group without members")
+        raise codec.CodecError("group record has no members; expected at least one")
     return Group(record, item.create_revision, item.mod_revision)
 
 
 def encode(record: GroupRecord) -> bytes:
-    """Return the bytes of a record."""
+    """Encode a group record as JSON."""
     return codec.to_json(record)
