--- a/toucanhold/registry/__init__.py
+++ b/toucanhold/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Backend servers that register themselves, and what is known of each."""
+"""Registrations of backend servers and the states that the servers report."""
--- a/toucanhold/registry/registry.py
+++ b/toucanhold/registry/registry.py
@@ -1,4 +1,4 @@
-"""The backend servers that are there now, as they registered."""
+"""Tracks the registered backend servers, and those whose registrations lapsed recently."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from toucanhold.coordination import keyvalue, mirror
 from toucanhold.registry import servers
 
-# Registrations that lapsed in an outage are back about two seconds after its end: the servers
-# write each 1.2 s, and the service needs a moment. What is missing after that is gone.
+# Registrations that lapsed during an outage of the key-value service return within about two
+# seconds of its end, as servers renew them every 1.2 s. Those still missing after that are dropped.
 LAPSE_GRACE_S = 2.2
 CHECK_INTERVAL_S = 0.25
-# A server that is cut off from the service goes on working for its group. Longer cuts than this
-# are rare, and what a server said of itself before them is worth nothing by then.
+# A server that is partitioned from the key-value service keeps working for its group. Partitions
+# rarely last longer than this, and the server's last known state is too old to be useful by then.
 LAPSED_RETENTION_S = 30.0
 
 LOGGER = logging.getLogger(__name__)
@@ -27,13 +27,14 @@
 
 @attrs.define(eq=False)
 class Registry:
-    """Servers by name.
-
-    :ivar prefix: where registrations lie in the key-value service
-    :ivar decode: reads one registration; None for one that names no usable server
-    :ivar servers: those that are there
-    :ivar lapsed: those whose registrations are gone, as last known: they get no requests, but may
-        still work for a group
+    """Local table of the backend servers, by server id.
+
+    :ivar prefix: key prefix of the registrations in the key-value service
+    :ivar decode: decodes one registration; returns None if it describes no usable server
+    :ivar servers: servers that are registered
+    :ivar lapsed: last known state of servers whose registrations lapsed; they get no requests, but
+        may still work for a group
+    :ivar version: grows with each change
     """
 
     kv_mirror: mirror.Mirror
@@ -47,7 +48,7 @@
     _listeners: list[collections.abc.Callable[[], None]] = attrs.field(factory=list, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Follow the registrations."""
+        """Subscribe to the registrations."""
         self.kv_mirror.listen(self.prefix, self._apply_changes)
 
     def add_listener(self, listener: collections.abc.Callable[[], None]) -> None:
@@ -59,33 +60,33 @@
         return [server for server in self.servers.values() if server.service == service]
 
     def is_registered(self, incarnation: tuple[str, int]) -> bool:
-        """Tell whether this very start of a server is registered."""
+        """Return whether a server is registered with this start time."""
         server = self.servers.get(incarnation[0])
         return server is not None and server.incarnation == incarnation
 
     def may_be_alive(self, incarnation: tuple[str, int]) -> bool:
-        """Tell whether nothing known speaks against a start of a server: no later one is there."""
+        """Return whether no other process of this server is registered, so it may still run."""
         server = self.servers.get(incarnation[0])
         return server is None or server.incarnation == incarnation
 
     def find(self, incarnation: tuple[str, int]) -> servers.Server | None:
-        """Return what is known of a start of a server, registered or lapsed."""
+        """Return the server with this name and start time, registered or lapsed, if known."""
         name = incarnation[0]
         server = self.servers.get(name) or self.lapsed.get(name)
         return server if server is not None and server.incarnation == incarnation else None
 
     def update_lapsed(self, server: servers.Server) -> None:
-        """Take in what a lapsed server said when it was asked."""
+        """Update a lapsed server with the state that it reported to a probe."""
         if server.server_id in self.lapsed:
             self.lapsed[server.server_id] = server
 
     def forget(self, name: str) -> None:
-        """Take a lapsed server for dead."""
+        """Drop a lapsed server, as it is dead or registered again."""
         self.lapsed.pop(name, None)
         self._lapsed_at_s.pop(name, None)
 
     async def run(self) -> None:
-        """Drop registrations that did not come back after an outage, until cancelled."""
+        """Periodically drop lapsed registrations, until cancelled."""
         while True:
             await trio.sleep(CHECK_INTERVAL_S)
             self._drop_missing()
@@ -108,7 +109,8 @@
     def _put(self, name: str, item: keyvalue.Item) -> None:
         server = self.decode(item)
         if server is None:
-            # Another writer's bytes must not keep a server in use that this name no longer tells.
+            # A key overwritten with other data no longer describes the server, so the server must
+            # not stay in use.
             events.log(LOGGER, events.Event.REGISTRATION_UNREADABLE, server=name)
             self.servers.pop(name, None)
             return
@@ -140,8 +142,8 @@
         self._notify()
 
     def _may_drop(self) -> bool:
-        # All leases may lapse while the service is away; to believe that would take every server
-        # out of service at once. The wait after the last failed call lets the living ones return.
+        # All leases may lapse during an outage of the key-value service. Applying that at once
+        # would take every server out of service; the grace period lets live servers re-register.
         return self.kv_mirror.is_answering and self.kv_mirror.since_failure_s > LAPSE_GRACE_S
 
     def _notify(self) -> None:
--- a/toucanhold/registry/servers.py
+++ b/toucanhold/registry/servers.py
@@ -1,4 +1,4 @@
-"""What a backend server tells of itself."""
+"""Defines the state that a backend server reports."""
 
 from __future__ import annotations
 
@@ -8,7 +8,12 @@
 
 
 class GroupState(enum.Enum):
-    """How far a backend server is in its group."""
+    """The state of a backend server in its group.
+
+    ``JOINING``: loading the model. ``READY``: joined. ``OPEN``: the head accepts requests.
+    ``CLOSING``: the head finishes running requests only. ``BROKEN``: the head lacked a member for
+    too long.
+    """
 
     JOINING = "joining"
     READY = "ready"
@@ -21,7 +26,9 @@
 class Membership:
     """The group that a backend server has joined.
 
-    :ivar epoch: grows with each formation; a group is told from its predecessors by it
+    :ivar group: name of the group
+    :ivar epoch: grows with each group that is formed
+    :ivar rank: the server's place among the members; the head has rank 0
     """
 
     group: str
@@ -32,18 +39,20 @@
 
 @attrs.frozen
 class Server:
-    """One start of one backend server.
-
-    :ivar server_id: its name; may be the same after a restart
-    :ivar born_ms: Unix time of its start, which tells its starts apart
-    :ivar address: ``IP:port``; other servers get it again later
-    :ivar slots: requests that it runs at once
-    :ivar is_leaving: it finishes its work and ends
-    :ivar cold_until_s: time of the run's clock until which it bears little; 0 when warm
-    :ivar domain: its fabric domain; empty for plain services
-    :ivar model: the model of its last group; empty for none
-    :ivar staged: models that lie on its host
-    :ivar order_count: orders that it has begun since its start; None where it was not asked
+    """One process of a backend server.
+
+    :ivar server_id: name of the server, which may stay the same after a restart
+    :ivar born_ms: start of the process in Unix milliseconds, which identifies it among restarts
+    :ivar address: ``IP:port``; may be reused by another server later
+    :ivar zone: availability zone
+    :ivar slots: maximum number of concurrent requests
+    :ivar is_leaving: whether it is draining: it finishes running requests and then exits
+    :ivar cold_until_s: time on the run's clock until which it is cold and takes few requests; 0 if
+        warm
+    :ivar domain: fabric domain; empty for services without models
+    :ivar model: model of its last group, which it has in memory; empty for none
+    :ivar staged: models that are stored on its host
+    :ivar order_count: number of orders it has begun since its start; None if it was not probed
     """
 
     server_id: str
@@ -62,11 +71,11 @@
 
     @property
     def incarnation(self) -> tuple[str, int]:
-        """What tells this start from earlier ones of the same name."""
+        """Name and start time, which distinguish the process from others of the same name."""
         return self.server_id, self.born_ms
 
     def state_in(self, group: str, epoch: int) -> GroupState | None:
-        """Return its state in one group, or None where it has not joined that."""
+        """Return its state in the given group, or None if it is not a member."""
         membership = self.membership
         if membership is None or (membership.group, membership.epoch) != (group, epoch):
             return None
--- a/toucanhold/replicas/reachability.py
+++ b/toucanhold/replicas/reachability.py
@@ -12,17 +12,24 @@
 
 from toucanhold.registry import servers
 
-MIN_SILENT_SERVERS = 3
+MIN_FAILED_SERVERS = 3
 # Failed probes older than this are ignored.
-SILENCE_MAX_AGE_S = 2.0
+MAX_FAILURE_AGE_S = 2.0
 # A failed probe is recorded up to this much later than an answer to a probe sent at the same time.
 PROBE_ROUND_S = 0.55
 
 
 @attrs.define
 class _ZoneState:
+    """Recent probe results of one zone.
+
+    :ivar last_answer_s: time of the last answer from any server
+    :ivar last_failure_s: time of the last failed probe, by server id, of servers that have not
+        answered since
+    """
+
     last_answer_s: float = float("-inf")
-    silent_since_s: dict[str, float] = attrs.field(factory=dict)
+    last_failure_s: dict[str, float] = attrs.field(factory=dict)
 
 
 @attrs.define(eq=False)
@@ -36,19 +43,21 @@
         zone = self._zones.setdefault(server.zone, _ZoneState())
         if has_answered:
             zone.last_answer_s = trio.current_time()
-            zone.silent_since_s.pop(server.server_id, None)
+            zone.last_failure_s.pop(server.server_id, None)
         else:
-            zone.silent_since_s[server.server_id] = trio.current_time()
+            zone.last_failure_s[server.server_id] = trio.current_time()
 
     def is_partitioned(self, zone_name: str) -> bool:
         """Return whether several servers of a zone were probed recently and none answered."""
         zone = self._zones.get(zone_name)
         if zone is None:
             return False
-        oldest_s = trio.current_time() - SILENCE_MAX_AGE_S
-        zone.silent_since_s = {
-            name: since_s for name, since_s in zone.silent_since_s.items() if since_s > oldest_s
+        oldest_s = trio.current_time() - MAX_FAILURE_AGE_S
+        zone.last_failure_s = {
+            name: failure_s
+            for name, failure_s in zone.last_failure_s.items()
+            if failure_s > oldest_s
         }
-        if len(zone.silent_since_s) < MIN_SILENT_SERVERS:
+        if len(zone.last_failure_s) < MIN_FAILED_SERVERS:
             return False
-        return zone.last_answer_s < min(zone.silent_since_s.values()) - PROBE_ROUND_S
+        return zone.last_answer_s < min(zone.last_failure_s.values()) - PROBE_ROUND_S
--- a/toucanhold/routes/__init__.py
+++ b/toucanhold/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes of callers' requests, services and workspaces."""
+"""Routes of callers' requests, model services and workspaces."""
--- a/toucanhold/routes/table.py
+++ b/toucanhold/routes/table.py
@@ -1,4 +1,4 @@
-"""Routes, services and workspaces as one version of the configuration tells them."""
+"""Defines the routes, services and workspaces of one version of the configuration."""
 
 from __future__ import annotations
 
@@ -9,7 +9,11 @@
 
 
 class Repeatability(enum.Enum):
-    """What of a request may be done more than once."""
+    """Whether a request may be run more than once.
+
+    ``IDEMPOTENT``: as a whole. ``RESUMABLE``: a stream may be continued on another backend server.
+    ``ONCE``: not at all.
+    """
 
     IDEMPOTENT = "idempotent"
     RESUMABLE = "resumable"
@@ -26,16 +30,17 @@
 
 @attrs.frozen
 class Route:
-    """Where requests of one host and path prefix go.
-
-    :ivar prefix: begins and ends with a slash
-    :ivar is_stream: whether the answer is a series of events
-    :ivar attempts: most backend servers that one request may be sent to
-    :ivar timeout_s: longest time that a request may be kept waiting
-    :ivar objective_s: time to the answer, or to a stream's first event
-    :ivar gap_objective_s: longest pause between a stream's events
-    :ivar rank: 0 is most urgent
-    :ivar is_public: whether requests need no key
+    """The target services and limits for requests of one host and path prefix.
+
+    :ivar prefix: path prefix, which begins and ends with a slash
+    :ivar split: services that share the requests, with their weights
+    :ivar is_stream: whether the response is an event stream
+    :ivar attempts: maximum number of backend servers that one request may be sent to
+    :ivar timeout_s: maximum time that a request may be kept waiting
+    :ivar objective_s: latency objective up to the response, or up to a stream's first event
+    :ivar gap_objective_s: objective for the longest gap between two events of a stream
+    :ivar rank: priority; 0 is the highest
+    :ivar is_public: whether requests need no API key
     """
 
     name: str
@@ -53,11 +58,11 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a second backend server may run the request after a first one perhaps did."""
+        """Whether the request may be retried after another backend server may have run it."""
         return self.repeatability is not Repeatability.ONCE
 
     def draw_service(self, rng: random.Random) -> str:
-        """Return a service by the weights of the split."""
+        """Return a random service, by the weights of the split."""
         if len(self.split) == 1:
             return self.split[0].service
         weights = [share.weight for share in self.split]
@@ -66,9 +71,9 @@
 
 @attrs.frozen
 class Workspace:
-    """Who holds a key.
+    """The owner of an API key.
 
-    :ivar rank: goes before the route's where it is not None; 0 is most urgent
+    :ivar rank: priority, which overrides the route's unless it is None; 0 is the highest
     """
 
     name: str
@@ -77,12 +82,13 @@
 
 @attrs.frozen
 class Model:
-    """A model that groups of ``size`` servers run.
+    """A model that groups of servers run.
 
-    :ivar share: its part of the servers' work
-    :ivar pace: factor on all times of its groups
+    :ivar size: number of servers in a group
+    :ivar share: relative share of the service's servers
+    :ivar pace: factor by which all times of its groups are multiplied
     :ivar load_s: time to load it from the weight store
-    :ivar warm_s: time to load it from the host
+    :ivar warm_s: time to load it from the host's storage
     """
 
     name: str
@@ -95,18 +101,18 @@
 
 @attrs.frozen
 class Engine:
-    """What servers of a model service have in common.
-
-    :ivar slots: requests that a group runs at once
-    :ivar memory_tokens: tokens that a group's memory holds
-    :ivar step_s: least time of one step, each of which makes one token a request
-    :ivar step_per_request_s: what each request adds to that
-    :ivar stride: steps of one pass
-    :ivar prefill_tokens_per_s: pace of reading prompts
-    :ivar prefill_step_tokens: most tokens of prompts that are read in one step
-    :ivar form_s: time from the order to open to serving
-    :ivar loads_per_s: loads that the weight store lets begin in a second
-    :ivar loads_at_once: loads that it serves at full pace
+    """Engine properties that all servers of a model service share.
+
+    :ivar slots: maximum number of concurrent requests of a group
+    :ivar memory_tokens: number of tokens that fit into a group's memory
+    :ivar step_s: minimum time of one decode step, which generates one token per request
+    :ivar step_per_request_s: additional step time per running request
+    :ivar stride: number of steps per pass
+    :ivar prefill_tokens_per_s: prefill throughput
+    :ivar prefill_step_tokens: maximum number of prompt tokens that one step prefills
+    :ivar form_s: time from the order to open a group until it serves
+    :ivar loads_per_s: rate at which the weight store starts model loads
+    :ivar loads_at_once: concurrent model loads that the weight store serves at full speed
     """
 
     models: tuple[Model, ...]
@@ -123,18 +129,18 @@
 
     @property
     def full_step_s(self) -> float:
-        """Time of a step that makes a token for a request in each place."""
+        """Time of one decode step when all slots are in use."""
         return self.step_s + self.slots * self.step_per_request_s
 
     def longest_pause_s(self, model: Model) -> float:
-        """Return the longest time between two events of a stream that a sound group makes.
+        """Return the longest gap in seconds between two stream events of a healthy group.
 
-        Each step of a pass may read as much of waiting prompts as a step reads at most.
+        Each step of a pass may also prefill up to ``prefill_step_tokens`` of waiting prompts.
         """
-        reading_s = 0.0
+        prefill_s = 0.0
         if self.prefill_tokens_per_s > 0:
-            reading_s = self.prefill_step_tokens / self.prefill_tokens_per_s
-        return model.pace * self.stride * (self.full_step_s + reading_s)
+            prefill_s = self.prefill_step_tokens / self.prefill_tokens_per_s
+        return model.pace * self.stride * (self.full_step_s + prefill_s)
 
     def model(self, name: str) -> Model | None:
         """Return a model by name."""
@@ -143,10 +149,10 @@
 
 @attrs.frozen
 class Service:
-    """A set of equal backend servers.
+    """A set of interchangeable backend servers.
 
-    :ivar cold_requests_per_s: requests that a cold server bears
-    :ivar engine: for model services
+    :ivar cold_requests_per_s: request rate that a cold server can handle
+    :ivar engine: engine properties of a model service; None for other services
     """
 
     name: str
@@ -156,7 +162,7 @@
 
 @attrs.frozen
 class Limits:
-    """What callers may send, and how long their connections may stay idle."""
+    """Limits on the size of callers' requests and on the idle time of their connections."""
 
     header_bytes: int
     body_bytes: int
@@ -167,10 +173,11 @@
 class RouteTable:
     """One version of the configuration.
 
-    :ivar version: grows, in uneven steps
-    :ivar routes: host to prefix to route
-    :ivar workspaces: key to who holds it
-    :ivar has_workspaces: whether keys are asked for at all
+    :ivar version: grows with each change, not necessarily by 1
+    :ivar routes: routes by host, then by path prefix
+    :ivar services: services by name
+    :ivar workspaces: workspaces by API key
+    :ivar has_workspaces: whether API keys are required
     """
 
     version: int
@@ -181,11 +188,11 @@
     limits: Limits
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of the longest prefix that begins ``path``."""
+        """Return the route with the longest prefix that matches ``path``, if any."""
         prefixes = self.routes.get(host)
         if not prefixes:
             return None
-        # One look-up a slash of the path: the cost doesn't grow with the number of routes.
+        # One look-up per slash of the path, so the cost does not grow with the number of routes.
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
             route = prefixes.get(path[: end + 1])
@@ -200,14 +207,14 @@
 
 @attrs.define(eq=False)
 class RouteTableHolder:
-    """The newest table, or None before the first one is known."""
+    """Holds the current route table, or None until the first one is received."""
 
     table: RouteTable | None = None
 
     def put(self, table: RouteTable) -> bool:
-        """Put ``table`` in force unless a newer one is; tell whether it is new."""
-        # Late answers and re-reads may bring an older version; going back would undo what callers
-        # and backend servers have already seen.
+        """Replace the current table unless it is as new; return whether it was replaced."""
+        # Delayed responses and re-reads may deliver an older version. Reverting to it would undo a
+        # configuration that callers and backend servers have already seen.
         if self.table is not None and table.version <= self.table.version:
             return False
         self.table = table
