--- a/tests/replica_scenes.py
+++ b/tests/replica_cluster.py
@@ -1,4 +1,4 @@
-"""Entries that plan groups of servers in memory, for tests on the test clock."""
+"""Test cluster of planner entries and in-memory servers, run on the test clock."""
 
 import random
 
@@ -13,8 +13,8 @@
 
 
 @attrs.define(eq=False, slots=False)
-class Node:
-    """The planning half of one entry."""
+class PlannerNode:
+    """The planner and its dependencies, as one entry runs them."""
 
     name: str
     platform: memory.MemoryPlatform
@@ -30,7 +30,7 @@
         self.registry = registry.Registry(
             self.mirror, replicas.REGISTRATIONS_PREFIX, replicas.decode
         )
-        self.board = records.GroupTable(self.mirror)
+        self.group_table = records.GroupTable(self.mirror)
         self.routes = table.RouteTableHolder(replicas.new_routes(self.engine))
         self.lease = lease.LeasedKey(
             self.client,
@@ -43,8 +43,8 @@
         self.planner = planner.Planner(
             self.mirror,
             self.lease,
-            plan.PlanWriter(self.client, self.mirror, self.lease, self.board),
-            self.board,
+            plan.PlanWriter(self.client, self.mirror, self.lease, self.group_table),
+            self.group_table,
             self.registry,
             self.routes,
             self.fleet,
@@ -64,17 +64,17 @@
     def kill(self):
         self.scope.cancel()
 
-    def serving(self, model):
+    def serving_groups(self, model):
         return [
             group
-            for group in self.board.groups.values()
+            for group in self.group_table.groups.values()
             if group.record.model == model and not group.is_ending and group.is_open(self.registry)
         ]
 
 
 @attrs.define(eq=False, slots=False)
-class Scene:
-    """A store, servers in domains of nine, and entries that are started one by one."""
+class Cluster:
+    """A key-value store, servers in fabric domains, and planner entries started on demand."""
 
     nursery: trio.Nursery
     engine: table.Engine = attrs.field(factory=replicas.new_engine)
@@ -98,7 +98,7 @@
             await self.fleet.add(f"s{number:02}", domain, "zone-" + "abc"[number // 9 % 3])
 
     def start(self, name):
-        node = Node(name, self.platform, self.fleet, self.engine)
+        node = PlannerNode(name, self.platform, self.fleet, self.engine)
         self.nodes[name] = node
         self.nursery.start_soon(node.run)
         return node
--- a/tests/test_conversion.py
+++ b/tests/test_conversion.py
@@ -1,7 +1,7 @@
-"""A model that starves beside another one: large groups that a domain can hold once, or twice.
+"""Conversion of servers to an underserved model, in domains with room for one or two large groups.
 
-The pattern: losses come one by one. Survivors of a large group hold its model, small groups hold
-the rest of the domain, and no spare is left that could fill the large group up.
+Servers are lost one by one. The remaining members of a large group keep its model, small groups
+occupy the rest of the domain, and no spare is left to complete the large group.
 """
 
 import collections
@@ -10,12 +10,12 @@
 import trio
 
 from standins import replicas
-from tests import clocked, replica_scenes
+from tests import clocked, replica_cluster
 from toucanhold.registry import servers
 from toucanhold.replicas import composition, conversion
 from toucanhold.routes import table
 
-# Domain, size of the large and of the small model.
+# Servers per domain, group size of the large model, group size of the small model.
 SIZES = ((9, 4, 3), (11, 6, 3), (20, 16, 4), (37, 16, 4), (73, 32, 8))
 
 
@@ -42,8 +42,8 @@
     ]
 
 
-class Domains:
-    """Domains in which small groups fill what a broken large group leaves."""
+class DomainFixture:
+    """Domains where a large group lacks one member and small groups occupy the other servers."""
 
     def __init__(self, per_domain, large, small, domains=2):
         self.engine = new_engine(large, small)
@@ -83,34 +83,36 @@
             self.ending,
         )
 
-    def placement_planner(self):
-        placement_planner = composition.PlacementPlanner(self.snapshot())
-        self.formed = placement_planner.placements()
-        return placement_planner
+    def planner(self):
+        planner = composition.PlacementPlanner(self.snapshot())
+        self.placements = planner.placements()
+        return planner
 
-    def stage(self, chosen):
-        """Let hosts load the model that a step wants there."""
-        names = {server.server_id for server in chosen.to_stage}
+    def stage_model(self, step):
+        """Mark the step's model as staged on the hosts of ``to_stage``."""
+        names = {server.server_id for server in step.to_stage}
         for domain, free in self.free.items():
-            self.free[domain] = [_staged(each, names, chosen.model.name) for each in free]
+            self.free[domain] = [_with_staged_model(each, names, step.model.name) for each in free]
         for number, group in enumerate(self.groups):
-            members = tuple(_staged(each, names, chosen.model.name) for each in group.members)
+            members = tuple(
+                _with_staged_model(each, names, step.model.name) for each in group.members
+            )
             self.groups[number] = conversion.ServingGroup(
                 group.name, group.model, group.domain, members
             )
 
-    def preempt(self, chosen, is_apart):
-        """Take groups apart: their members are free once that is done."""
-        for group in [each for each in self.groups if each.name in chosen.preempted]:
+    def preempt_groups(self, step, is_torn_down):
+        """End the preempted groups; their members are free once the groups are torn down."""
+        for group in [each for each in self.groups if each.name in step.preempted]:
             self.groups.remove(group)
-            if is_apart:
+            if is_torn_down:
                 self.free[group.domain] += group.members
                 self.ending.pop(group.domain, None)
             else:
                 self.ending.setdefault(group.domain, []).extend(group.members)
 
 
-def _staged(server, names, model):
+def _with_staged_model(server, names, model):
     if server.server_id not in names:
         return server
     return servers.Server(
@@ -125,48 +127,50 @@
     )
 
 
-class StarvationTest(unittest.TestCase):
-    def test_a_starved_large_model_gets_a_group_for_as_few_as_possible(self):
-        """Guards against callers who are refused for good beside survivors that lack one server."""
+class UnderservedModelTest(unittest.TestCase):
+    def test_underserved_large_model_gets_a_group_with_the_fewest_preempted_groups(self):
+        """Guards against permanently refused callers where a group lacks only one server."""
         for per_domain, large, small in SIZES:
             with self.subTest(per_domain=per_domain):
-                site = Domains(per_domain, large, small, domains=3)
-                chosen = site.placement_planner().next_conversion()
-                self.assertEqual("large", chosen.model.name)
-                self.assertEqual(1, len(chosen.to_stage))
+                fixture = DomainFixture(per_domain, large, small, domains=3)
+                step = fixture.planner().next_conversion()
+                self.assertEqual("large", step.model.name)
+                self.assertEqual(1, len(step.to_stage))
                 spares = (per_domain - large + 1) % small
-                self.assertEqual(0 if spares else 1, len(chosen.preempted))
-                site.stage(chosen)
-                again = site.placement_planner().next_conversion()
+                self.assertEqual(0 if spares else 1, len(step.preempted))
+                fixture.stage_model(step)
+                next_step = fixture.planner().next_conversion()
                 if spares:
-                    self.assertNotEqual(chosen.domain, again and again.domain)
+                    self.assertNotEqual(step.domain, next_step and next_step.domain)
                 else:
-                    self.assertEqual((chosen.domain, ()), (again.domain, again.to_stage))
-                    site.preempt(again, is_apart=True)
-                    site.placement_planner()
-                self.assertEqual("large", site.formed[0].model)
-                self.assertEqual(chosen.domain, site.formed[0].members[0].domain)
-
-    def test_freed_servers_wait_for_the_group_that_they_are_freed_for(self):
-        """Guards against small groups that form again of servers freed for the large one."""
-        site = Domains(37, 16, 4, domains=2)
-        site.free["d0"] = [each for each in site.free["d0"] if each.model == "large"][:-3]
-        site.free["d0"] += new_servers("d0", 4, "small", "freed-")
-        site.free["d1"].clear()
-        staged = [each for each in site.groups if each.domain == "d0"][0]
-        step = conversion.Conversion(site.engine.models[0], "d0", staged.members, (staged.name,))
-        site.stage(step)
-        site.preempt(step, is_apart=False)
-        site.placement_planner()
-        self.assertEqual([], [each.model for each in site.formed])
-        site.groups.append(staged)
-        site.ending.clear()
-        site.free["d0"] += [_staged(each, {each.server_id}, "large") for each in staged.members]
-        site.groups.remove(staged)
-        site.placement_planner()
-        self.assertEqual("large", site.formed[0].model)
-
-    def test_a_starved_small_model_gets_servers_of_a_large_group(self):
+                    self.assertEqual((step.domain, ()), (next_step.domain, next_step.to_stage))
+                    fixture.preempt_groups(next_step, is_torn_down=True)
+                    fixture.planner()
+                self.assertEqual("large", fixture.placements[0].model)
+                self.assertEqual(step.domain, fixture.placements[0].members[0].domain)
+
+    def test_freed_servers_are_reserved_for_the_group_that_they_are_freed_for(self):
+        """Guards against small groups that re-form from servers freed for the large group."""
+        fixture = DomainFixture(37, 16, 4, domains=2)
+        fixture.free["d0"] = [each for each in fixture.free["d0"] if each.model == "large"][:-3]
+        fixture.free["d0"] += new_servers("d0", 4, "small", "freed-")
+        fixture.free["d1"].clear()
+        staged = [each for each in fixture.groups if each.domain == "d0"][0]
+        step = conversion.Conversion(fixture.engine.models[0], "d0", staged.members, (staged.name,))
+        fixture.stage_model(step)
+        fixture.preempt_groups(step, is_torn_down=False)
+        fixture.planner()
+        self.assertEqual([], [each.model for each in fixture.placements])
+        fixture.groups.append(staged)
+        fixture.ending.clear()
+        fixture.free["d0"] += [
+            _with_staged_model(each, {each.server_id}, "large") for each in staged.members
+        ]
+        fixture.groups.remove(staged)
+        fixture.planner()
+        self.assertEqual("large", fixture.placements[0].model)
+
+    def test_underserved_small_model_gets_servers_of_a_large_group(self):
         engine = new_engine(4, 3)
         groups = [
             conversion.ServingGroup(
@@ -177,13 +181,13 @@
         capacity = conversion.CapacitySnapshot(
             engine, {"large": 4.0, "small": 5.0}, {"large": 4}, {}, groups, {}
         )
-        chosen = conversion.next_conversion(capacity)
+        step = conversion.next_conversion(capacity)
         self.assertEqual(
-            ("small", 3, 1), (chosen.model.name, len(chosen.to_stage), len(chosen.preempted))
+            ("small", 3, 1), (step.model.name, len(step.to_stage), len(step.preempted))
         )
 
-    def test_no_group_is_given_up_where_the_other_model_would_starve_next(self):
-        """Guards against two models that take each other's servers by turns."""
+    def test_no_group_is_preempted_if_the_other_model_would_be_underserved_next(self):
+        """Guards against two models that repeatedly preempt each other's groups."""
         engine = new_engine(4, 3)
         group = conversion.ServingGroup("g", "small", "d0", tuple(new_servers("d0", 3, "small")))
         free = {"d0": new_servers("d0", 3, "large")}
@@ -192,7 +196,7 @@
         )
         self.assertIsNone(conversion.next_conversion(capacity))
 
-    def test_models_that_are_both_short_are_left_alone(self):
+    def test_models_that_are_both_underprovisioned_are_not_converted(self):
         for large in (1, 2, 3):
             capacity = conversion.CapacitySnapshot(
                 new_engine(6, 3),
@@ -204,28 +208,28 @@
             )
             self.assertIsNone(conversion.underserved_model(capacity) if large > 1 else None)
 
-    def test_one_model_alone_never_starves(self):
+    def test_single_model_is_never_underserved(self):
         engine = replicas.new_engine(table.Model("one", 1, 1.0, 1.0, 10.0, 1.0))
         capacity = conversion.CapacitySnapshot(engine, {"one": 5.0}, {}, {"d0": []}, [], {})
         self.assertIsNone(conversion.next_conversion(capacity))
 
 
-class StarvedSiteTest(unittest.TestCase):
+class UnservedModelClusterTest(unittest.TestCase):
     @clocked.on_test_clock
-    async def test_a_model_without_a_group_serves_again_within_twenty_seconds(self):
-        """Guards against callers who are refused from the first losses to the end of the day."""
+    async def test_model_without_a_group_serves_again_within_twenty_seconds(self):
+        """Guards against callers who are refused from the first lost servers onwards."""
         async with trio.open_nursery() as nursery:
-            scene = replica_scenes.Scene(nursery, new_engine(16, 4), domains=2, per_domain=20)
-            await scene.add_servers()
-            node = scene.start("entry-1")
-            await scene.wait_for(lambda: node.serving("large"), 60)
+            cluster = replica_cluster.Cluster(nursery, new_engine(16, 4), domains=2, per_domain=20)
+            await cluster.add_servers()
+            node = cluster.start("entry-1")
+            await cluster.wait_for(lambda: node.serving_groups("large"), 60)
             await trio.sleep(25)
-            while groups := node.serving("large"):
-                await scene.fleet.darken(groups[0].record.members[-1].server_id)
+            while groups := node.serving_groups("large"):
+                await cluster.fleet.darken(groups[0].record.members[-1].server_id)
                 await trio.sleep(8)
-            begin_s = trio.current_time()
-            await scene.wait_for(lambda: node.serving("large"), 20)
-            self.assertLess(trio.current_time() - begin_s, 20)
-            self.assertTrue(node.serving("small"))
-            self.assertEqual([], scene.fleet.broken)
+            start_s = trio.current_time()
+            await cluster.wait_for(lambda: node.serving_groups("large"), 20)
+            self.assertLess(trio.current_time() - start_s, 20)
+            self.assertTrue(node.serving_groups("small"))
+            self.assertEqual([], cluster.fleet.broken)
             nursery.cancel_scope.cancel()
--- a/tests/test_engine_times.py
+++ b/tests/test_engine_times.py
@@ -1,4 +1,4 @@
-"""Times that follow from what an engine tells of itself."""
+"""Times that are computed from an engine's properties."""
 
 import unittest
 
@@ -16,14 +16,14 @@
 
 
 class LongestPauseTest(unittest.TestCase):
-    def test_each_step_of_a_pass_may_read_a_full_piece_of_prompts(self):
+    def test_each_step_of_a_pass_may_prefill_the_maximum_of_prompt_tokens(self):
         step_s = 0.006 + 13 * 0.0002 + 2048 / 50_700
         self.assertAlmostEqual(7 * step_s, ENGINE.longest_pause_s(replicas.LARGE))
         self.assertAlmostEqual(0.6 * 7 * step_s, ENGINE.longest_pause_s(replicas.SMALL))
 
-    def test_an_engine_that_tells_nothing_has_no_pace(self):
-        silent = attrs.evolve(ENGINE, prefill_tokens_per_s=0.0, step_s=0.0, step_per_request_s=0.0)
-        self.assertEqual(0.0, silent.longest_pause_s(replicas.LARGE))
+    def test_longest_pause_is_zero_for_an_engine_without_known_times(self):
+        unknown = attrs.evolve(ENGINE, prefill_tokens_per_s=0.0, step_s=0.0, step_per_request_s=0.0)
+        self.assertEqual(0.0, unknown.longest_pause_s(replicas.LARGE))
 
     @settings(deadline=None, max_examples=50, derandomize=True)
     @given(pace=strategies.floats(0.1, 10), stride=strategies.integers(1, 20))
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""What is believed of backend servers that register themselves."""
+"""Registered backend servers as the registry and its mirror of the key-value store show them."""
 
 import random
 import unittest
@@ -13,8 +13,8 @@
 
 
 @attrs.define(eq=False, slots=False)
-class Watched:
-    """A registry that follows a store in memory."""
+class RegistryFixture:
+    """A registry that is fed from an in-memory key-value store."""
 
     def __attrs_post_init__(self):
         self.platform = memory.MemoryPlatform()
@@ -42,84 +42,84 @@
 
 class RegistryTest(unittest.TestCase):
     @clocked.on_test_clock
-    async def test_servers_come_and_go(self):
+    async def test_servers_appear_when_registered_and_disappear_when_deleted(self):
         async with trio.open_nursery() as nursery:
-            watched = Watched()
-            nursery.start_soon(watched.run)
-            await watched.register(nursery, "s1", "s2")
+            fixture = RegistryFixture()
+            nursery.start_soon(fixture.run)
+            await fixture.register(nursery, "s1", "s2")
             await trio.sleep(0.2)
-            self.assertEqual({"s1", "s2"}, set(watched.registry.servers))
+            self.assertEqual({"s1", "s2"}, set(fixture.registry.servers))
             await trio.sleep(5)
-            await watched.write("s1", None)
+            await fixture.write("s1", None)
             await trio.sleep(0.2)
-            self.assertEqual({"s2"}, set(watched.registry.servers))
+            self.assertEqual({"s2"}, set(fixture.registry.servers))
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
     async def test_registrations_that_lapse_in_an_outage_are_given_time_to_return(self):
-        """Guards against all servers taken out of service when the store returns."""
+        """Guards against removing all servers when the key-value store returns from an outage."""
         async with trio.open_nursery() as nursery:
-            watched = Watched()
-            nursery.start_soon(watched.run)
-            await watched.register(nursery, "s1", "s2")
+            fixture = RegistryFixture()
+            nursery.start_soon(fixture.run)
+            await fixture.register(nursery, "s1", "s2")
             await trio.sleep(5)
-            watched.platform.set_mode("down", "entry-1")
+            fixture.platform.set_mode("down", "entry-1")
             await trio.sleep(3)
-            await watched.write("s1", None)
-            await watched.write("s2", None)
-            watched.platform.set_mode("up", "entry-1")
+            await fixture.write("s1", None)
+            await fixture.write("s2", None)
+            fixture.platform.set_mode("up", "entry-1")
             await trio.sleep(1)
-            self.assertEqual({"s1", "s2"}, set(watched.registry.servers))
-            await watched.register(nursery, "s1")
+            self.assertEqual({"s1", "s2"}, set(fixture.registry.servers))
+            await fixture.register(nursery, "s1")
             await trio.sleep(2)
-            self.assertEqual({"s1"}, set(watched.registry.servers))
+            self.assertEqual({"s1"}, set(fixture.registry.servers))
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
-    async def test_unreadable_registration_names_no_server_and_harms_no_other(self):
+    async def test_unreadable_registration_is_ignored_and_does_not_affect_other_servers(self):
         async with trio.open_nursery() as nursery:
-            watched = Watched()
-            nursery.start_soon(watched.run)
-            await watched.register(nursery, "s1", "s2")
-            await watched.write("s2", b"\xff\x00")
-            await watched.write("s3", b"[]")
+            fixture = RegistryFixture()
+            nursery.start_soon(fixture.run)
+            await fixture.register(nursery, "s1", "s2")
+            await fixture.write("s2", b"\xff\x00")
+            await fixture.write("s3", b"[]")
             await trio.sleep(0.3)
-            self.assertEqual({"s1"}, set(watched.registry.servers))
+            self.assertEqual({"s1"}, set(fixture.registry.servers))
             nursery.cancel_scope.cancel()
 
 
 class MirrorTest(unittest.TestCase):
     @clocked.on_test_clock
-    async def test_history_that_is_gone_is_read_anew(self):
-        """Guards against keys that were deleted while no watch could tell."""
+    async def test_mirror_is_reloaded_after_the_store_compacted_its_history(self):
+        """Guards against keeping keys whose deletion is no longer in the store's history."""
         async with trio.open_nursery() as nursery:
-            watched = Watched()
-            nursery.start_soon(watched.run)
-            await watched.register(nursery, "s1", "s2")
+            fixture = RegistryFixture()
+            nursery.start_soon(fixture.run)
+            await fixture.register(nursery, "s1", "s2")
             await trio.sleep(5)
-            watched.platform.set_mode("down", "entry-1")
+            fixture.platform.set_mode("down", "entry-1")
             await trio.sleep(1)
-            await watched.write("s1", None)
-            watched.platform.store.history_revisions = 1
-            await watched.register(nursery, "s3")
-            watched.platform.set_mode("up", "entry-1")
+            await fixture.write("s1", None)
+            fixture.platform.store.history_revisions = 1
+            await fixture.register(nursery, "s3")
+            fixture.platform.set_mode("up", "entry-1")
             await trio.sleep(4)
-            self.assertEqual({"s2", "s3"}, set(watched.registry.servers))
+            self.assertEqual({"s2", "s3"}, set(fixture.registry.servers))
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
-    async def test_changes_gather_before_the_next_watch(self):
-        """Each return of a watch is a call that is paid for; twenty changes need not be twenty."""
+    async def test_changes_are_batched_before_the_next_watch(self):
+        """Guards against one paid watch call per change when many changes arrive together."""
         async with trio.open_nursery() as nursery:
-            watched = Watched()
-            nursery.start_soon(watched.run)
+            fixture = RegistryFixture()
+            nursery.start_soon(fixture.run)
             await trio.sleep(1)
-            before = watched.platform.calls["entry-1", "watch"]
+            before = fixture.platform.calls["entry-1", "watch"]
             for number in range(20):
-                await watched.register(nursery, f"s{number}")
+                await fixture.register(nursery, f"s{number}")
                 await trio.sleep(0.01)
             await trio.sleep(0.3)
-            self.assertEqual(20, len(watched.registry.servers))
+            self.assertEqual(20, len(fixture.registry.servers))
             # The stand-in's watch is itself counted within each of its returns.
-            self.assertLess(watched.platform.calls["entry-1", "watch"] - before, 20)
+            self.assertLess(fixture.platform.calls["entry-1", "watch"] - before, 20)
             nursery.cancel_scope.cancel()
