--- a/tests/test_conversion.py
+++ b/tests/test_conversion.py
@@ -55,15 +55,15 @@
             self._fill(f"d{number}", per_domain)
 
     def _fill(self, domain, per_domain):
-        survivors = self.size["large"] - 1
-        groups = (per_domain - survivors) // self.size["small"]
-        self.free[domain] = new_servers(domain, survivors, "large")
+        remaining_members = self.size["large"] - 1
+        groups = (per_domain - remaining_members) // self.size["small"]
+        self.free[domain] = new_servers(domain, remaining_members, "large")
         for number in range(groups):
             members = tuple(new_servers(domain, self.size["small"], "small", f"{number}-"))
             self.groups.append(
                 conversion.ServingGroup(f"{domain}-g{number}", "small", domain, members)
             )
-        left = per_domain - survivors - groups * self.size["small"]
+        left = per_domain - remaining_members - groups * self.size["small"]
         self.free[domain] += new_servers(domain, left, "small", "spare-")
 
     def snapshot(self):
@@ -83,7 +83,7 @@
             self.ending,
         )
 
-    def planner(self):
+    def new_planner(self):
         planner = composition.PlacementPlanner(self.snapshot())
         self.placements = planner.placements()
         return planner
@@ -133,19 +133,19 @@
         for per_domain, large, small in SIZES:
             with self.subTest(per_domain=per_domain):
                 fixture = DomainFixture(per_domain, large, small, domains=3)
-                step = fixture.planner().next_conversion()
+                step = fixture.new_planner().next_conversion()
                 self.assertEqual("large", step.model.name)
                 self.assertEqual(1, len(step.to_stage))
                 spares = (per_domain - large + 1) % small
                 self.assertEqual(0 if spares else 1, len(step.preempted))
                 fixture.stage_model(step)
-                next_step = fixture.planner().next_conversion()
+                next_step = fixture.new_planner().next_conversion()
                 if spares:
                     self.assertNotEqual(step.domain, next_step and next_step.domain)
                 else:
                     self.assertEqual((step.domain, ()), (next_step.domain, next_step.to_stage))
                     fixture.preempt_groups(next_step, is_torn_down=True)
-                    fixture.planner()
+                    fixture.new_planner()
                 self.assertEqual("large", fixture.placements[0].model)
                 self.assertEqual(step.domain, fixture.placements[0].members[0].domain)
 
@@ -159,7 +159,7 @@
         step = conversion.Conversion(fixture.engine.models[0], "d0", staged.members, (staged.name,))
         fixture.stage_model(step)
         fixture.preempt_groups(step, is_torn_down=False)
-        fixture.planner()
+        fixture.new_planner()
         self.assertEqual([], [each.model for each in fixture.placements])
         fixture.groups.append(staged)
         fixture.ending.clear()
@@ -167,7 +167,7 @@
             _with_staged_model(each, {each.server_id}, "large") for each in staged.members
         ]
         fixture.groups.remove(staged)
-        fixture.planner()
+        fixture.new_planner()
         self.assertEqual("large", fixture.placements[0].model)
 
     def test_underserved_small_model_gets_servers_of_a_large_group(self):
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -13,7 +13,7 @@
 
 
 @attrs.define(eq=False)
-class LossyEngines(orders.EngineClient):
+class LossyEngineClient(orders.EngineClient):
     """Engine client that loses the answers to the first probes.
 
     :ivar lost: number of answers still to be lost
@@ -41,7 +41,9 @@
         server_registry = registry.Registry(
             mirror.Mirror(), replicas.REGISTRATIONS_PREFIX, replicas.decode
         )
-        sender = order_sender.OrderSender(LossyEngines(fleet, lost), server_registry, lambda: 1)
+        sender = order_sender.OrderSender(
+            LossyEngineClient(fleet, lost), server_registry, lambda: 1
+        )
         start_s = trio.current_time()
         report = await sender.probe(server)
         return report, sender.is_unreachable(server.incarnation), trio.current_time() - start_s
--- a/toucanhold/replicas/composition.py
+++ b/toucanhold/replicas/composition.py
@@ -8,7 +8,7 @@
 import attrs
 
 from toucanhold.registry import servers
-from toucanhold.replicas import conversion, fitness
+from toucanhold.replicas import conversion, readiness
 from toucanhold.routes import table
 
 # A domain of nine servers holds a group of four, a group of three and two spares. A lost member is
@@ -76,9 +76,9 @@
     :param usable_count: usable servers, of which :data:`SPARE_FRACTION` are kept as spares
     """
     total_share = sum(model.share for model in engine.models) or 1.0
-    workable = usable_count * (1 - SPARE_FRACTION)
+    grouped_count = usable_count * (1 - SPARE_FRACTION)
     return {
-        model.name: max(1.0, workable * model.share / total_share / model.size)
+        model.name: max(1.0, grouped_count * model.share / total_share / model.size)
         for model in engine.models
     }
 
@@ -120,11 +120,11 @@
 
     def placements(self) -> list[Placement]:
         """Return the groups to form now, starting with the model of the least coverage."""
-        chosen: list[Placement] = []
+        placements: list[Placement] = []
         while (placement := self._next_placement()) is not None:
-            chosen.append(placement)
+            placements.append(placement)
             self._record_placement(placement)
-        return chosen
+        return placements
 
     def next_conversion(self) -> conversion.Conversion | None:
         """Return the next conversion step that is still needed after the placements, if any."""
@@ -132,7 +132,7 @@
 
     def _capacity(self) -> conversion.CapacitySnapshot:
         snapshot = self.snapshot
-        open_free = {
+        free_in_open_zones = {
             domain: members
             for domain, members in self._free_servers.items()
             if not any(server.zone in snapshot.closed_zones for server in members)
@@ -141,32 +141,34 @@
             snapshot.engine,
             self.target_counts,
             self.group_counts,
-            open_free,
+            free_in_open_zones,
             snapshot.groups,
             snapshot.ending_members,
         )
 
     def preloads(self) -> list[Preload]:
         """Return the models that the remaining free servers should load."""
-        chosen = [
-            each for model in self._models_without_group() for each in self._preloads_for(model)
+        preloads = [
+            preload
+            for model in self._models_without_group()
+            for preload in self._preloads_for(model)
         ]
-        preloaded = {each.server.server_id for each in chosen}
+        preloaded = {preload.server.server_id for preload in preloads}
         for free_servers in self._free_servers.values():
             members = [server for server in free_servers if server.server_id not in preloaded]
-            ready = {
-                model.name: sum(fitness.has_model(server, model) for server in members)
+            ready_counts = {
+                model.name: sum(readiness.has_model(server, model) for server in members)
                 for model in self.snapshot.engine.models
             }
             for server in members:
                 if not server.model and not server.staged:
-                    model = self._model_to_preload(ready)
-                    ready[model.name] += 1
-                    chosen.append(Preload(model.name, server))
+                    model = self._model_to_preload(ready_counts)
+                    ready_counts[model.name] += 1
+                    preloads.append(Preload(model.name, server))
                 elif not server.model:
                     # Loading a staged model into memory now saves more than a second later.
-                    chosen.append(Preload(server.staged[0], server))
-        return chosen
+                    preloads.append(Preload(server.staged[0], server))
+        return preloads
 
     def _models_without_group(self) -> list[table.Model]:
         """Return the models that no group serves while other models have groups."""
@@ -191,17 +193,21 @@
             and not any(server.zone in self.snapshot.closed_zones for server in members)
         ]
 
-        def missing(domain: str) -> int:
-            ready = sum(fitness.has_model(server, model) for server in self._free_servers[domain])
-            return model.size - ready - loading_counts.get(domain, 0)
+        def missing_count(domain: str) -> int:
+            ready_count = sum(
+                readiness.has_model(server, model) for server in self._free_servers[domain]
+            )
+            return model.size - ready_count - loading_counts.get(domain, 0)
 
         if not candidate_domains:
             return []
-        domain = min(candidate_domains, key=lambda each: (missing(each), each))
+        domain = min(candidate_domains, key=lambda each: (missing_count(each), each))
         others = [
-            server for server in self._free_servers[domain] if not fitness.has_model(server, model)
+            server
+            for server in self._free_servers[domain]
+            if not readiness.has_model(server, model)
         ]
-        return [Preload(model.name, server) for server in others[: max(0, missing(domain))]]
+        return [Preload(model.name, server) for server in others[: max(0, missing_count(domain))]]
 
     def _next_placement(self) -> Placement | None:
         models_by_coverage = sorted(
@@ -231,19 +237,19 @@
         if len(members) < model.size + reserve:
             return False
         slowest_s = max(
-            fitness.join_time_s(member, model) for member in _select_members(model, members)
+            readiness.join_time_s(member, model) for member in _select_members(model, members)
         )
         # Groups in closed zones count as well. Without them, a group that lost a member while
         # another zone was closed was treated as the first group of all: its remaining members
         # loaded the other model, and their own model was no longer served.
         is_first = not self.snapshot.zone_counts and not self.snapshot.ending_counts
-        return is_first or slowest_s <= max(model.warm_s, fitness.REJOIN_TIME_S)
+        return is_first or slowest_s <= max(model.warm_s, readiness.REJOIN_TIME_S)
 
     def _placement_cost(self, model: table.Model, domain: str) -> tuple:
         members = _select_members(model, self._free_servers[domain])
         zone = members[0].zone
         return (
-            round(max(fitness.join_time_s(member, model) for member in members), 1),
+            round(max(readiness.join_time_s(member, model) for member in members), 1),
             self._displaced_larger_groups(model, domain),
             self._domain_counts.get((model.name, domain), 0),
             self._zone_counts.get((model.name, zone), 0),
@@ -270,36 +276,36 @@
     def _record_placement(self, placement: Placement) -> None:
         head = placement.members[0]
         self.group_counts[placement.model] = self.group_counts.get(placement.model, 0) + 1
-        for group_counts, place in (
+        for counts, location in (
             (self._zone_counts, head.zone),
             (self._domain_counts, head.domain),
         ):
-            key = placement.model, place
-            group_counts[key] = group_counts.get(key, 0) + 1
+            key = placement.model, location
+            counts[key] = counts.get(key, 0) + 1
         for member in placement.members:
             self._free_servers[member.domain].remove(member)
 
     def _coverage(self, model: str) -> float:
         return self.group_counts.get(model, 0) / self.target_counts[model]
 
-    def _model_to_preload(self, ready: collections.abc.Mapping[str, int]) -> table.Model:
+    def _model_to_preload(self, ready_counts: collections.abc.Mapping[str, int]) -> table.Model:
         # Spares complete groups that lost members, so a domain needs some for each model, and more
         # for underprovisioned models. Models whose loaded servers are closest to a whole group
         # come first.
         def preload_cost(model: table.Model) -> tuple[float, float, int]:
-            loaded_fraction = ready[model.name] / model.size
-            missing = (
+            loaded_fraction = ready_counts[model.name] / model.size
+            missing_fraction = (
                 1 - loaded_fraction
                 if loaded_fraction < 1 and self._is_underprovisioned(model)
                 else 1.0
             )
-            return missing, loaded_fraction + self._coverage(model.name), -model.size
+            return missing_fraction, loaded_fraction + self._coverage(model.name), -model.size
 
         return min(self.snapshot.engine.models, key=preload_cost)
 
 
 def _select_members(model: table.Model, free_servers: list[servers.Server]) -> list[servers.Server]:
     def join_cost(server: servers.Server) -> tuple:
-        return fitness.join_time_s(server, model), server.cold_until_s, server.server_id
+        return readiness.join_time_s(server, model), server.cold_until_s, server.server_id
 
     return sorted(free_servers, key=join_cost)[: model.size]
--- a/toucanhold/replicas/conversion.py
+++ b/toucanhold/replicas/conversion.py
@@ -12,7 +12,7 @@
 import attrs
 
 from toucanhold.registry import servers
-from toucanhold.replicas import fitness
+from toucanhold.replicas import readiness
 from toucanhold.routes import table
 
 # A model is underserved if its coverage is below this fraction of the best covered model's.
@@ -109,7 +109,7 @@
         domain
         for domain, ending_members in capacity.ending_members.items()
         if sum(
-            fitness.has_model(server, model)
+            readiness.has_model(server, model)
             for server in [*ending_members, *capacity.free_servers.get(domain, ())]
         )
         >= model.size
@@ -157,13 +157,13 @@
     missing = max(0, model.size - _ready_count(pool, model))
     if not preempted and missing > model.size * MAX_MISSING_FRACTION:
         return None
-    to_stage = [server for server in pool if not fitness.has_model(server, model)][:missing]
+    to_stage = [server for server in pool if not readiness.has_model(server, model)][:missing]
     names = tuple(group.name for group in preempted)
     return Conversion(model, domain, tuple(to_stage), names)
 
 
 def _ready_count(members: collections.abc.Iterable[servers.Server], model: table.Model) -> int:
-    return sum(fitness.has_model(server, model) for server in members)
+    return sum(readiness.has_model(server, model) for server in members)
 
 
 def _is_worthwhile(
--- a/toucanhold/replicas/driver.py
+++ b/toucanhold/replicas/driver.py
@@ -23,7 +23,7 @@
 # partitions end sooner.
 PARTITION_TIMEOUT_S = 60.0
 CHECK_INTERVAL_S = 0.25
-# A head whose registration has lapsed is probed within this time.
+# Time to probe a head whose registration has lapsed before its group is ended.
 LAPSED_HEAD_TIMEOUT_S = 0.6
 
 LOGGER = logging.getLogger(__name__)
@@ -215,15 +215,15 @@
         return head is not None and head.incarnation != group.head.incarnation
 
     async def _close(self, group: records.Group, head: servers.Server) -> None:
-        is_whole = all(
+        is_complete = all(
             self.server_registry.find(member.incarnation) is not None
             and not self.order_sender.is_unreachable(member.incarnation)
             for member in group.record.members
         )
-        in_time = trio.current_time() - self._ending_since_s < DRAIN_TIMEOUT_S
+        is_within_timeout = trio.current_time() - self._ending_since_s < DRAIN_TIMEOUT_S
         # Without all its members the head cannot finish any request, and waiting would only keep
         # the other members idle.
-        finishes_work = is_whole and in_time
+        finishes_work = is_complete and is_within_timeout
         if self._is_order_due(f"close {finishes_work}"):
             order = orders.Close(group.name, group.epoch, finishes_work)
             await self.order_sender.send(head, order)
--- a/toucanhold/replicas/order_sender.py
+++ b/toucanhold/replicas/order_sender.py
@@ -58,7 +58,7 @@
     )
 
     def is_unreachable(self, incarnation: tuple[str, int]) -> bool:
-        """Return whether a server failed to answer within :data:`UNREACHABLE_PERIOD_S`."""
+        """Return whether a server failed to answer in the last :data:`UNREACHABLE_PERIOD_S`."""
         return trio.current_time() < self._unreachable_until_s.get(incarnation, 0.0)
 
     async def send(self, server: servers.Server, order: orders.Order) -> orders.OrderOutcome:
@@ -105,7 +105,7 @@
         return report
 
     async def _probe_twice(self, server: servers.Server) -> servers.Server | None:
-        report: list[servers.Server] = []
+        reports: list[servers.Server] = []
         with trio.move_on_after(PROBE_TIMEOUT_S - PROBE_SETTLE_S):
             async with trio.open_nursery() as nursery:
 
@@ -113,12 +113,12 @@
                     await trio.sleep(delay_s)
                     answer = await self.engine_client.probe(server)
                     if answer is not None:
-                        report.append(answer)
+                        reports.append(answer)
                         nursery.cancel_scope.cancel()
 
                 for delay_s in (0.0, SECOND_PROBE_DELAY_S):
                     nursery.start_soon(probe_once, delay_s)
-        return report[0] if report else None
+        return reports[0] if reports else None
 
     async def _send_once(self, server: servers.Server, order: orders.Order) -> orders.OrderOutcome:
         # The process may have been paused since the decision, and another planner elected.
@@ -127,8 +127,8 @@
             raise NotPlannerError(server.server_id)
         count = self._order_counts[server.incarnation]
         outcome = await self.engine_client.send(server, order, count, fence)
-        done_at_once = isinstance(order, orders.Leave) and outcome is orders.OrderOutcome.HOLDS
-        if outcome is orders.OrderOutcome.BEGUN or done_at_once:
+        is_already_done = isinstance(order, orders.Leave) and outcome is orders.OrderOutcome.HOLDS
+        if outcome is orders.OrderOutcome.BEGUN or is_already_done:
             self._order_counts[server.incarnation] = count + 1
         if outcome is orders.OrderOutcome.UNREACHABLE:
             self._mark_unreachable(server.incarnation)
--- a/toucanhold/replicas/planner.py
+++ b/toucanhold/replicas/planner.py
@@ -25,8 +25,8 @@
 from toucanhold.routes import table
 
 PLAN_INTERVAL_S = 0.25
-# The servers of a whole site register within a second of its start. Groups planned earlier would
-# leave servers of their domains unused.
+# After a cold start, all servers register within a second. Groups planned earlier would leave some
+# servers of their domains unused.
 ARRIVAL_SETTLE_S = 0.8
 # Delay after a failed write.
 WRITE_RETRY_S = 0.1
@@ -177,11 +177,13 @@
             return
         for service in routes.model_services():
             placement_planner = composition.PlacementPlanner(self._snapshot(service))
-            drafts = [self._new_record(service, each) for each in placement_planner.placements()]
+            drafts = [
+                self._new_record(service, placement) for placement in placement_planner.placements()
+            ]
             for begin in range(0, len(drafts), plan.MAX_GROUPS_PER_WRITE):
                 await self._create_groups(drafts[begin : begin + plan.MAX_GROUPS_PER_WRITE])
             self._order_preloads(service, placement_planner.preloads(), nursery)
-            await self._convert(placement_planner.next_conversion(), nursery)
+            await self._apply_conversion(placement_planner.next_conversion(), nursery)
 
     async def _create_groups(self, drafts: list[records.GroupRecord]) -> None:
         try:
@@ -289,24 +291,26 @@
     ) -> None:
         assert service.engine is not None
         now_s = trio.current_time()
-        loading = sum(map(_is_loading, self.server_registry.of_service(service.name)))
-        for each in preloads:
-            incarnation = each.server.incarnation
-            if loading >= service.engine.loads_at_once and self._has_created_groups:
+        loading_count = sum(map(_is_loading, self.server_registry.of_service(service.name)))
+        for preload in preloads:
+            incarnation = preload.server.incarnation
+            if loading_count >= service.engine.loads_at_once and self._has_created_groups:
                 return
             if now_s - self._last_preload_s.get(incarnation, float("-inf")) < PRELOAD_RETRY_S:
                 continue
-            loading += 1
+            loading_count += 1
             self._last_preload_s[incarnation] = now_s
             events.log(
                 LOGGER,
                 events.Event.SPARE_PREPARED,
-                server=each.server.server_id,
-                model=each.model,
+                server=preload.server.server_id,
+                model=preload.model,
             )
-            nursery.start_soon(self._order_preload, each)
+            nursery.start_soon(self._order_preload, preload)
 
-    async def _convert(self, step: conversion.Conversion | None, nursery: trio.Nursery) -> None:
+    async def _apply_conversion(
+        self, step: conversion.Conversion | None, nursery: trio.Nursery
+    ) -> None:
         if step is None:
             return
         now_s = trio.current_time()
