--- a/toucanhold/registry/registry.py
+++ b/toucanhold/registry/registry.py
@@ -137,8 +137,8 @@
             if server is not None:
                 self.lapsed[name] = server
                 self._lapsed_at_s[name] = trio.current_time()
-                age_s = round(trio.current_time() - since_s, 3)
-                events.log(LOGGER, events.Event.SERVER_GONE, server=name, missing_s=age_s)
+                missing_s = round(trio.current_time() - since_s, 3)
+                events.log(LOGGER, events.Event.SERVER_GONE, server=name, missing_s=missing_s)
         self._notify()
 
     def _may_drop(self) -> bool:
--- a/toucanhold/replicas/conversion.py
+++ b/toucanhold/replicas/conversion.py
@@ -127,10 +127,12 @@
         return None
     domains = capacity.free_servers.keys() | {group.domain for group in capacity.groups}
     candidates = (_conversion_in(capacity, model, domain) for domain in sorted(domains))
-    return min((each for each in candidates if each is not None), key=_cost, default=None)
+    return min(
+        (each for each in candidates if each is not None), key=_conversion_cost, default=None
+    )
 
 
-def _cost(conversion: Conversion) -> tuple[int, int, str]:
+def _conversion_cost(conversion: Conversion) -> tuple[int, int, str]:
     return len(conversion.preempted), len(conversion.to_stage), conversion.domain
 
 
@@ -154,12 +156,12 @@
         preempted.append(group)
     if len(pool) < model.size or not _is_worthwhile(capacity, model, preempted):
         return None
-    missing = max(0, model.size - _ready_count(pool, model))
-    if not preempted and missing > model.size * MAX_MISSING_FRACTION:
+    missing_count = max(0, model.size - _ready_count(pool, model))
+    if not preempted and missing_count > model.size * MAX_MISSING_FRACTION:
         return None
-    to_stage = [server for server in pool if not readiness.has_model(server, model)][:missing]
-    names = tuple(group.name for group in preempted)
-    return Conversion(model, domain, tuple(to_stage), names)
+    to_stage = [server for server in pool if not readiness.has_model(server, model)][:missing_count]
+    preempted_names = tuple(group.name for group in preempted)
+    return Conversion(model, domain, tuple(to_stage), preempted_names)
 
 
 def _ready_count(members: collections.abc.Iterable[servers.Server], model: table.Model) -> int:
@@ -172,9 +174,9 @@
     if preempted and underserved_model(capacity) is None:
         return False
     # Otherwise the other model would become underserved next and take its servers back.
-    after = capacity.coverage(model.name, 1)
+    coverage_after = capacity.coverage(model.name, 1)
     for other in capacity.engine.models:
-        lost = sum(group.model == other.name for group in preempted)
-        if lost and capacity.coverage(other.name, -lost) < after:
+        preempted_count = sum(group.model == other.name for group in preempted)
+        if preempted_count and capacity.coverage(other.name, -preempted_count) < coverage_after:
             return False
     return True
--- a/toucanhold/replicas/plan.py
+++ b/toucanhold/replicas/plan.py
@@ -44,7 +44,7 @@
     _last_written_revision: int | None = attrs.field(default=None, init=False)
     _lock: trio.Lock = attrs.field(factory=trio.Lock, init=False)
 
-    async def create(self, drafts: list[records.GroupRecord]) -> list[records.Group]:
+    async def create(self, new_records: list[records.GroupRecord]) -> list[records.Group]:
         """Write new groups, at most :data:`MAX_GROUPS_PER_WRITE`.
 
         :raises PlanWriteError: if the commit failed or a member already belongs to a group
@@ -52,11 +52,11 @@
         async with self._lock:
             # A commit that seemed to have failed may have taken effect since the decision.
             groups_by_server = self.group_table.groups_by_server()
-            members = [member for draft in drafts for member in draft.members]
+            members = [member for record in new_records for member in record.members]
             if any(member.server_id in groups_by_server for member in members):
                 raise PlanWriteError("a server already belongs to another group")
-            revision = await self._write([self._put_write(draft) for draft in drafts])
-        groups = [records.Group(draft, revision, revision) for draft in drafts]
+            revision = await self._write([self._put_write(record) for record in new_records])
+        groups = [records.Group(record, revision, revision) for record in new_records]
         for group in groups:
             self.group_table.put(group)
         return groups
@@ -87,10 +87,10 @@
             keyvalue.Condition(PLANNER_KEY, mod_revision=self.planner_lease.fencing),
             keyvalue.Condition(PLAN_KEY, mod_revision=self._expected_revision()),
         ]
-        mark = keyvalue.Write(PLAN_KEY, uuid.uuid4().hex.encode())
+        plan_key_write = keyvalue.Write(PLAN_KEY, uuid.uuid4().hex.encode())
         self._last_written_revision = None
         try:
-            result = await self.kv_client.commit(conditions, [mark, *writes])
+            result = await self.kv_client.commit(conditions, [plan_key_write, *writes])
         except keyvalue.KeyValueError as error:
             events.log(LOGGER, events.Event.PLAN_WRITE_FAILED, reason=str(error))
             raise PlanWriteError(str(error)) from error
--- a/toucanhold/replicas/planner.py
+++ b/toucanhold/replicas/planner.py
@@ -108,7 +108,7 @@
             while self.may_act():
                 self.prober.probe(nursery)
                 await self._plan_services(nursery)
-                self._drive(nursery)
+                self._start_drivers(nursery)
                 self._log_counts()
                 await self._changed.wait(PLAN_INTERVAL_S)
             nursery.cancel_scope.cancel()
@@ -151,12 +151,12 @@
             return "loading"
         return f"spare {server.model}" if server.model else "empty"
 
-    def _drive(self, nursery: trio.Nursery) -> None:
+    def _start_drivers(self, nursery: trio.Nursery) -> None:
         for name in self.group_table.groups.keys() - self._driven_groups:
             self._driven_groups.add(name)
-            nursery.start_soon(self._drive_group, name)
+            nursery.start_soon(self._run_driver, name)
 
-    async def _drive_group(self, name: str) -> None:
+    async def _run_driver(self, name: str) -> None:
         group_driver = driver.GroupDriver(
             name,
             self.group_table,
@@ -177,17 +177,17 @@
             return
         for service in routes.model_services():
             placement_planner = composition.PlacementPlanner(self._snapshot(service))
-            drafts = [
+            new_records = [
                 self._new_record(service, placement) for placement in placement_planner.placements()
             ]
-            for begin in range(0, len(drafts), plan.MAX_GROUPS_PER_WRITE):
-                await self._create_groups(drafts[begin : begin + plan.MAX_GROUPS_PER_WRITE])
+            for begin in range(0, len(new_records), plan.MAX_GROUPS_PER_WRITE):
+                await self._create_groups(new_records[begin : begin + plan.MAX_GROUPS_PER_WRITE])
             self._order_preloads(service, placement_planner.preloads(), nursery)
             await self._apply_conversion(placement_planner.next_conversion(), nursery)
 
-    async def _create_groups(self, drafts: list[records.GroupRecord]) -> None:
+    async def _create_groups(self, new_records: list[records.GroupRecord]) -> None:
         try:
-            created = await self.plan.create(drafts)
+            created = await self.plan.create(new_records)
         except plan.PlanWriteError as error:
             LOGGER.debug("groups not written: %s", error)
             await trio.sleep(WRITE_RETRY_S)
--- a/toucanhold/replicas/records.py
+++ b/toucanhold/replicas/records.py
@@ -156,8 +156,8 @@
 
 def find_members(group: Group, server_registry: registry.Registry) -> list[servers.Server]:
     """Return the members of a group that the registry knows, registered or lapsed."""
-    found = (server_registry.find(member.incarnation) for member in group.record.members)
-    return [server for server in found if server is not None]
+    members = (server_registry.find(member.incarnation) for member in group.record.members)
+    return [server for server in members if server is not None]
 
 
 def decode(item: keyvalue.Item) -> Group:
