--- a/toucanhold/replicas/driver.py
+++ b/toucanhold/replicas/driver.py
@@ -47,7 +47,7 @@
 
     name: str
     group_table: records.GroupTable
-    plan: plan.PlanWriter
+    plan_writer: plan.PlanWriter
     server_registry: registry.Registry
     order_sender: order_sender.OrderSender
     changed: waking.Signal
@@ -73,7 +73,7 @@
         try:
             if group.is_ending:
                 if await self._tear_down(group):
-                    await self.plan.remove(group)
+                    await self.plan_writer.remove(group)
                     events.log(LOGGER, events.Event.GROUP_REMOVED, group=self.name)
                     return
             elif reason := self._reason_to_end(group):
@@ -85,7 +85,7 @@
                     model=group.record.model,
                     reason=reason,
                 )
-                await self.plan.mark_ending(group)
+                await self.plan_writer.mark_ending(group)
                 return
             else:
                 await self._advance(group)
--- a/toucanhold/replicas/planner.py
+++ b/toucanhold/replicas/planner.py
@@ -53,7 +53,7 @@
 
     kv_mirror: mirror.Mirror
     planner_lease: lease.LeasedKey
-    plan: plan.PlanWriter
+    plan_writer: plan.PlanWriter
     group_table: records.GroupTable
     server_registry: registry.Registry
     routes: table.RouteTableHolder
@@ -160,7 +160,7 @@
         group_driver = driver.GroupDriver(
             name,
             self.group_table,
-            self.plan,
+            self.plan_writer,
             self.server_registry,
             self.order_sender,
             self._changed,
@@ -187,7 +187,7 @@
 
     async def _create_groups(self, new_records: list[records.GroupRecord]) -> None:
         try:
-            created = await self.plan.create(new_records)
+            created = await self.plan_writer.create(new_records)
         except plan.PlanWriteError as error:
             LOGGER.debug("groups not written: %s", error)
             await trio.sleep(WRITE_RETRY_S)
@@ -345,7 +345,7 @@
             reason=f"{step.model.name} is underserved and needs these servers",
         )
         try:
-            await self.plan.mark_ending(group)
+            await self.plan_writer.mark_ending(group)
         except plan.PlanWriteError as error:
             LOGGER.debug("%s: not preempted: %s", name, error)
 
