--- a/standins/gateways.py
+++ b/standins/gateways.py
@@ -137,12 +137,12 @@
         factory=lambda: collections.defaultdict(Behaviour)
     )
     runs: list[tuple[str, str]] = attrs.field(factory=list)
-    arrivals: list[tuple[float, str, calls.Forwarded]] = attrs.field(factory=list)
+    arrivals: list[tuple[float, str, calls.ForwardedCall]] = attrs.field(factory=list)
     working: collections.Counter[str] = attrs.field(factory=collections.Counter)
 
     @contextlib.asynccontextmanager
     async def exchange(
-        self, server: servers.Server, forwarded: calls.Forwarded
+        self, server: servers.Server, forwarded: calls.ForwardedCall
     ) -> collections.abc.AsyncIterator[calls.Response]:
         """See :class:`calls.ServerClient`."""
         name = server.server_id
@@ -156,7 +156,7 @@
             await trio.sleep(behaviour.work_s)
             self.runs.append((name, forwarded.call.call_id))
             if behaviour.loses_answer:
-                raise calls.AnswerLostError(f"{name}: connection lost", was_cut=True)
+                raise calls.ResponseLostError(f"{name}: connection lost", is_connection_lost=True)
             chunks = self._events(behaviour, forwarded)
             if not forwarded.is_stream or behaviour.status != 200:
                 chunks = self._whole()
@@ -168,13 +168,13 @@
         yield b"answer"
 
     async def _events(
-        self, behaviour: Behaviour, forwarded: calls.Forwarded
+        self, behaviour: Behaviour, forwarded: calls.ForwardedCall
     ) -> collections.abc.AsyncIterator[bytes]:
         sent = 0
         for number in range((forwarded.last_event_id or 0) + 1, behaviour.events + 1):
             if sent == behaviour.cut_after:
                 yield b"id: 99"
-                raise calls.AnswerLostError("connection lost", was_cut=True)
+                raise calls.ResponseLostError("connection lost", is_connection_lost=True)
             if sent == behaviour.silent_after:
                 await trio.sleep_forever()
             if sent:
@@ -254,10 +254,10 @@
         self.routes = table.RouteTableHolder()
         self.routes.put(self.new_table(1, LOOKUPS, ORDERS, STREAMS))
         self.closed_zones: set[str] = set()
-        self.loads = load.LoadBoard()
+        self.loads = load.LoadTracker()
         self.health = health.Health()
-        self.crashes = crashes.CrashMemory()
-        found = targets.Targets(
+        self.crashes = crashes.CrashTracker()
+        found = targets.ServerSelector(
             FixedRegistry(self.registered),
             EmptyBoard(),
             self.loads,
@@ -274,7 +274,7 @@
             budget.RetryBudget(budget.RetryBound(0.2, self.retry_slack, 10.0), lambda: 1),
             self.health,
             self.crashes,
-            silence.SilenceWatch(self.health, self.silent.append),
+            silence.SilenceDetector(self.health, self.silent.append),
             rng,
         )
 
@@ -301,6 +301,6 @@
         reply = MemoryReply()
         try:
             await self.gateway.serve(call, reply)
-        except (calls.CallError, calls.AnswerLostError) as error:
+        except (calls.CallError, calls.ResponseLostError) as error:
             return reply, error
         return reply, None
--- a/tests/platform/test_platform_calls.py
+++ b/tests/platform/test_platform_calls.py
@@ -180,7 +180,7 @@
             outcome = await client.send(gone, orders.Leave("g1", 1), 0, 1)
             self.assertIs(orders.OrderOutcome.UNREACHABLE, outcome)
             with self.assertRaises(calls.NotRunError) as caught:
-                forwarded = calls.Forwarded(gateways.new_call("/"), "", 1.0, None, False)
+                forwarded = calls.ForwardedCall(gateways.new_call("/"), "", 1.0, None, False)
                 async with client.exchange(gone, forwarded):
                     pass
             self.assertTrue(caught.exception.is_gone)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -28,11 +28,11 @@
         address = standins.free_address()
         own = entries.Entry(self.name, self.zone, "r", address, address, "b1", self.cores)
         self.listed = gateways.FixedList(own)
-        self.loads = load.LoadBoard()
+        self.loads = load.LoadTracker()
         self.health = health.Health()
-        self.crashes = crashes.CrashMemory()
+        self.crashes = crashes.CrashTracker()
         self.silent = []
-        self.watch = silence.SilenceWatch(self.health, self.silent.append)
+        self.watch = silence.SilenceDetector(self.health, self.silent.append)
         self.exchange = exchange.Exchange(
             self.listed, self.loads, self.crashes, self._on_silent, random.Random(1)
         )
@@ -72,7 +72,7 @@
     async def _exchange(self):
         one, two = new_site("a", 2)
         one.loads.add("s1")
-        two.exchange.note_silent("s9")
+        two.exchange.report_silent("s9")
         for _ in range(crashes.CRASHES_LIMIT):
             one.crashes.note("mark")
         async with trio.open_nursery() as nursery:
@@ -129,7 +129,7 @@
                 nursery.start_soon(side.run)
             await until(lambda: all(not each.exchange.is_root for each in sides[1:6]))
             await trio.sleep(0.5)
-            sides[4].exchange.note_silent("s9")
+            sides[4].exchange.report_silent("s9")
             await until(lambda: all(side.silent for side in sides if side is not sides[4]))
             await trio.sleep(0.3)
             nursery.cancel_scope.cancel()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -48,7 +48,7 @@
         scene = gateways.GatewayScene()
         scene.routes.table = None
         _, error = await scene.ask(gateways.new_call("/lookups/1"))
-        self.assertIs(calls.RefusalReason.NO_ROUTES_YET, error.reason)
+        self.assertIs(calls.RefusalReason.NO_CONFIGURATION, error.reason)
         self.assertGreater(error.retry_after_s, 0)
 
 
@@ -62,7 +62,7 @@
         async with scene.running():
             _, error = await scene.ask(gateways.new_call("/orders/1"))
         self.assertEqual(1, len(scene.desk.runs))
-        self.assertTrue(error.has_run)
+        self.assertTrue(error.may_have_run)
 
     @clocked.on_test_clock
     async def test_order_that_a_server_has_not_run_goes_to_another(self):
@@ -84,8 +84,8 @@
             began_s = trio.current_time()
             _, error = await scene.ask(gateways.new_call("/orders/1"))
             self.assertAlmostEqual(1.2, trio.current_time() - began_s, delta=0.01)
-        self.assertTrue(error.has_run)
-        self.assertIs(calls.RefusalReason.TOO_LATE, error.reason)
+        self.assertTrue(error.may_have_run)
+        self.assertIs(calls.RefusalReason.DEADLINE_EXCEEDED, error.reason)
 
 
 class LookupTest(unittest.TestCase):
@@ -129,7 +129,7 @@
         async with scene.running():
             _, error = await scene.ask(gateways.new_call("/lookups/1"))
         self.assertEqual(2, len(scene.desk.runs))
-        self.assertTrue(error.has_run)
+        self.assertTrue(error.may_have_run)
 
     @clocked.on_test_clock
     async def test_retries_stay_within_their_budget(self):
@@ -198,7 +198,7 @@
             scene.desk.behaviours[name].cut_after = 2
         async with scene.running():
             reply, error = await scene.ask(gateways.new_call("/streams/1"))
-        self.assertIsInstance(error, calls.AnswerLostError)
+        self.assertIsInstance(error, calls.ResponseLostError)
         self.assertFalse(reply.is_complete)
         self.assertEqual([1, 2, 3, 4], reply.event_ids)
 
@@ -225,7 +225,7 @@
                 _, error = await scene.ask(gateways.new_call("/lookups/1", body=b"poison"))
         self.assertEqual(3, len(scene.desk.runs))
         self.assertIs(calls.RefusalReason.CRASHES_SERVERS, error.reason)
-        self.assertFalse(error.has_run)
+        self.assertFalse(error.may_have_run)
 
 
 class AdmissionTest(unittest.TestCase):
@@ -289,7 +289,7 @@
             _, error = await scene.ask(gateways.new_call("/lookups/1"))
             self.assertLess(trio.current_time() - began_s, 0.5)
         self.assertEqual([], scene.desk.arrivals)
-        self.assertFalse(error.has_run)
+        self.assertFalse(error.may_have_run)
         self.assertGreater(error.retry_after_s, 0)
 
     @clocked.on_test_clock
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -13,7 +13,7 @@
 
 
 def board_of(sources):
-    board = load.LoadBoard()
+    board = load.LoadTracker()
     for number in range(sources):
         board.put(f"e{number}", {head: 1 for head in HEADS[number % 60 : number % 60 + 9]}, 60.0)
     return board
@@ -26,7 +26,7 @@
 class LoadBoardTest(unittest.TestCase):
     @clocked.on_test_clock
     async def test_a_new_report_replaces_the_old_one(self):
-        board = load.LoadBoard()
+        board = load.LoadTracker()
         board.put("e1", {"s1": 3, "s2": 1}, 1.0)
         board.put("e2", {"s1": 1}, 1.0)
         board.put("e1", {"s1": 2}, 1.0)
@@ -37,7 +37,7 @@
     async def test_a_dead_entrys_requests_stop_counting(self):
         """Guards against servers that look busy with requests of an entry that was killed."""
 
-        board = load.LoadBoard()
+        board = load.LoadTracker()
         board.put("e1", {"s1": 5}, 1.0)
         board.put("e2", {"s1": 2}, 3.0)
         await trio.sleep(2.0)
@@ -47,7 +47,7 @@
 
     @clocked.on_test_clock
     async def test_a_digest_leaves_its_receiver_out(self):
-        board = load.LoadBoard()
+        board = load.LoadTracker()
         board.put("e1", {"s1": 5, "s2": 1}, 1.0, is_local=True)
         board.put("zone b", {"s1": 2}, 1.0)
         board.add("s3")
@@ -55,7 +55,7 @@
         self.assertEqual({"s1": 5, "s2": 1, "s3": 1}, board.local())
 
     def test_a_request_that_ends_twice_leaves_no_debt(self):
-        board = load.LoadBoard()
+        board = load.LoadTracker()
         board.add("s1")
         board.remove("s1")
         board.remove("s1")
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -341,7 +341,7 @@
     def test_no_entry_is_followed_by_too_many(self):
         found = self._sources(self._entries(390, 11))
         first = [sources[0] for sources in found.values() if sources]
-        self.assertLessEqual(max(map(first.count, first)), hierarchy.FOLLOWERS)
+        self.assertLessEqual(max(map(first.count, first)), hierarchy.MAX_FOLLOWERS_PER_ENTRY)
 
     def test_the_planner_watches_and_large_machines_go_first(self):
         known = self._entries(60, 4)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -61,19 +61,19 @@
     def test_callers_stay_in_their_zone(self):
         """Guards against answers that cross zones, and callers lost when a zone is cut off."""
         known = new_entries(8, 52)
-        self.assertEqual({"z1"}, {entry.zone for entry in sharing.near(known, "z1")})
+        self.assertEqual({"z1"}, {entry.zone for entry in sharing.near_zone(known, "z1")})
 
     def test_a_zone_with_few_entries_gets_some_of_others(self):
         """Guards against callers whose only addresses are two entries that were killed."""
         known = new_entries(7, 0)
-        found = sharing.near(known, "z3")
+        found = sharing.near_zone(known, "z3")
         self.assertEqual("z3", found[0].zone)
         self.assertEqual(3, len({entry.entry for entry in found}))
 
     def test_a_zone_without_entries_gets_all_others(self):
         known = new_entries(7, 0)
-        self.assertEqual(known, sharing.near(known, "elsewhere"))
-        self.assertEqual([], sharing.near([], "z1"))
+        self.assertEqual(known, sharing.near_zone(known, "elsewhere"))
+        self.assertEqual([], sharing.near_zone([], "z1"))
 
 
 def new_zones(count, zones):
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -14,7 +14,7 @@
     async def _watched(self, nursery, longest_pause_s=0.0):
         self.health = health.Health()
         self.found = []
-        watch = silence.SilenceWatch(self.health, self.found.append)
+        watch = silence.SilenceDetector(self.health, self.found.append)
         nursery.start_soon(watch.run)
         stream = silence.WatchedStream("s1", lambda: True, longest_pause_s)
         watch.add(stream)
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -36,10 +36,10 @@
         self.board = records.GroupBoard(self.copy)
         self.closed = set()
         cold = budget.ColdBudget(1.5, 5, gateways.FixedList(gateways.new_entry("e1")))
-        self.targets = targets.Targets(
+        self.targets = targets.ServerSelector(
             known,
             self.board,
-            load.LoadBoard(),
+            load.LoadTracker(),
             health.Health(),
             cold,
             self.closed,
--- a/toucanhold/gateway/admission.py
+++ b/toucanhold/gateway/admission.py
@@ -40,13 +40,13 @@
 class Admission:
     """Places requests; those that find no room wait by rank, then in their order."""
 
-    targets: targets.Targets
+    targets: targets.ServerSelector
     _queue: list[tuple[int, int, _Waiter]] = attrs.field(factory=list, init=False)
     _filled: trio.Event = attrs.field(factory=trio.Event, init=False)
     _numbers: collections.abc.Iterator[int] = attrs.field(factory=itertools.count, init=False)
 
     @property
-    def waiting(self) -> int:
+    def queue_length(self) -> int:
         """Requests that wait now."""
         return len(self._queue)
 
@@ -155,7 +155,7 @@
             if entry in self._queue:
                 self._queue.remove(entry)
         if waiter.server is None:
-            raise self._refusal(calls.RefusalReason.NO_ROOM)
+            raise self._refusal(calls.RefusalReason.NO_CAPACITY)
         return waiter.server
 
     def _may_come(self, service: table.Service, model: str) -> bool:
--- a/toucanhold/gateway/attempt.py
+++ b/toucanhold/gateway/attempt.py
@@ -102,7 +102,7 @@
     run: Run,
     server: servers.Server,
     client: calls.ServerClient,
-    watch: silence.SilenceWatch,
+    watch: silence.SilenceDetector,
     outcomes: health.Health,
     may_move: collections.abc.Callable[[], bool],
 ) -> int:
@@ -112,7 +112,7 @@
     :return: the status of the answer
     :raises calls.ExchangeError: when another server may be tried, if the call allows that
     """
-    forwarded = calls.Forwarded(
+    forwarded = calls.ForwardedCall(
         run.call,
         run.workspace_name,
         run.deadline_s - trio.current_time(),
@@ -133,10 +133,10 @@
 
 async def _run_stream(
     run: Run,
-    forwarded: calls.Forwarded,
+    forwarded: calls.ForwardedCall,
     server: servers.Server,
     client: calls.ServerClient,
-    watch: silence.SilenceWatch,
+    watch: silence.SilenceDetector,
     outcomes: health.Health,
     may_move: collections.abc.Callable[[], bool],
 ) -> int:
@@ -156,7 +156,7 @@
         if run.route.may_repeat:
             watch.remove(watched)
     if watched.scope.cancelled_caught:
-        raise calls.AnswerLostError("the server has fallen silent")
+        raise calls.ResponseLostError("the server has fallen silent")
     return status
 
 
@@ -172,7 +172,7 @@
             await _begin(run, response)
             await run.reply.send(bytes(passed))
     if splitter.has_rest:
-        raise calls.AnswerLostError("the stream ended within an event", was_cut=True)
+        raise calls.ResponseLostError("the stream ended within an event", is_connection_lost=True)
     await _begin(run, response)
     await run.reply.finish()
     return response.status
@@ -193,7 +193,7 @@
     if last is not None and number <= last:
         return False
     if last is not None and number > last + 1:
-        raise calls.AnswerLostError(f"event {number} follows event {last}")
+        raise calls.ResponseLostError(f"event {number} follows event {last}")
     run.last_event_id = number
     return True
 
@@ -208,14 +208,14 @@
     async for chunk in response.chunks:
         body += chunk
         if len(body) > ANSWER_LIMIT_BYTES:
-            raise calls.AnswerLostError("the answer is larger than allowed")
+            raise calls.ResponseLostError("the answer is larger than allowed")
     failed = response.status >= SERVER_ERROR
     if failed and run.route.may_repeat and may_move():
         # Servers fail a part of what they could answer; another one answers it in time.
-        raise calls.AnswerLostError(f"the server answered with status {response.status}")
+        raise calls.ResponseLostError(f"the server answered with status {response.status}")
     outcomes.note(run.server_id, failed)
     if run.has_replied:
-        raise calls.AnswerLostError(f"the stream was not resumed: status {response.status}")
+        raise calls.ResponseLostError(f"the stream was not resumed: status {response.status}")
     run.has_replied = True
     await run.reply.start(response.status, response.headers, len(body))
     await run.reply.send(bytes(body))
@@ -223,7 +223,7 @@
     return response.status
 
 
-def _log_placed(run: Run, server: servers.Server, forwarded: calls.Forwarded) -> None:
+def _log_placed(run: Run, server: servers.Server, forwarded: calls.ForwardedCall) -> None:
     membership = server.membership
     events.log(
         LOGGER,
--- a/toucanhold/gateway/calls.py
+++ b/toucanhold/gateway/calls.py
@@ -17,30 +17,30 @@
 class RefusalReason(enum.Enum):
     """Why a request ended without an answer of a backend server."""
 
-    NO_ROUTES_YET = "no configuration is known yet"
+    NO_CONFIGURATION = "no configuration is known yet"
     NO_ROUTE = "no route matches"
     UNKNOWN_KEY = "the key belongs to no workspace"
     NO_SERVER = "no backend server serves this now"
-    NO_ROOM = "no backend server has room in time"
-    TOO_LATE = "the time for the request is over"
+    NO_CAPACITY = "no backend server has room in time"
+    DEADLINE_EXCEEDED = "the time for the request is over"
     CRASHES_SERVERS = "such a request has crashed backend servers"
-    ANSWER_LOST = "the answer of a backend server was lost"
-    TOO_LARGE = "the body is larger than allowed"
+    RESPONSE_LOST = "the answer of a backend server was lost"
+    BODY_TOO_LARGE = "the body is larger than allowed"
 
 
 class CallError(Exception):
     """A request gets a final answer of this system's own.
 
-    :ivar has_run: whether a backend server may have run it, or may run it yet
+    :ivar may_have_run: whether a backend server may have run it, or may run it yet
     :ivar retry_after_s: when to come back; None for no hint
     """
 
     def __init__(
-        self, reason: RefusalReason, has_run: bool = False, retry_after_s: float | None = None
+        self, reason: RefusalReason, may_have_run: bool = False, retry_after_s: float | None = None
     ) -> None:
         super().__init__(reason.value)
         self.reason = reason
-        self.has_run = has_run
+        self.may_have_run = may_have_run
         self.retry_after_s = retry_after_s
 
 
@@ -54,21 +54,21 @@
     :ivar is_gone: whether another server or none listens at the address
     """
 
-    def __init__(self, detail: str, is_gone: bool = False, at_fault: str = "") -> None:
+    def __init__(self, detail: str, is_gone: bool = False, faulty_member: str = "") -> None:
         super().__init__(detail)
         self.is_gone = is_gone
-        self.at_fault = at_fault
+        self.faulty_member = faulty_member
 
 
-class AnswerLostError(ExchangeError):
+class ResponseLostError(ExchangeError):
     """The backend server may have run the request.
 
-    :ivar was_cut: whether the connection broke, as it does when a server crashes
+    :ivar is_connection_lost: whether the connection broke, as it does when a server crashes
     """
 
-    def __init__(self, detail: str, was_cut: bool = False) -> None:
+    def __init__(self, detail: str, is_connection_lost: bool = False) -> None:
         super().__init__(detail)
-        self.was_cut = was_cut
+        self.is_connection_lost = is_connection_lost
 
 
 @attrs.frozen
@@ -99,7 +99,7 @@
 
 
 @attrs.frozen
-class Forwarded:
+class ForwardedCall:
     """A call on its way to one backend server.
 
     :ivar workspace: who holds the caller's key; empty for public routes
@@ -115,7 +115,7 @@
 
 @attrs.frozen
 class Response:
-    """The head of a server's answer; ``chunks`` raises :class:`AnswerLostError`."""
+    """The head of a server's answer; ``chunks`` raises :class:`ResponseLostError`."""
 
     status: int
     headers: Headers
@@ -127,12 +127,12 @@
 
     @abc.abstractmethod
     def exchange(
-        self, server: servers.Server, forwarded: Forwarded
+        self, server: servers.Server, forwarded: ForwardedCall
     ) -> contextlib.AbstractAsyncContextManager[Response]:
         """Send a call and give its answer; leaving the context early ends the server's work.
 
         :raises NotRunError: when the server has not run it
-        :raises AnswerLostError: when it may have
+        :raises ResponseLostError: when it may have
         """
 
 
--- a/toucanhold/gateway/crashes.py
+++ b/toucanhold/gateway/crashes.py
@@ -34,7 +34,7 @@
 
 
 @attrs.define(eq=False)
-class CrashMemory:
+class CrashTracker:
     """Connections that broke while a server ran a request, by request."""
 
     _records: dict[str, _Record] = attrs.field(factory=dict, init=False)
--- a/toucanhold/gateway/entries.py
+++ b/toucanhold/gateway/entries.py
@@ -75,7 +75,7 @@
         """Keep the own record until cancelled or stopped."""
         await self._held.run()
 
-    async def leave(self) -> None:
+    async def deregister(self) -> None:
         """Take the own record away for good."""
         self.is_stopping = True
         await self._held.release()
@@ -128,7 +128,7 @@
         self.version += self._others != found
         self._others = found
 
-    async def watch(self) -> None:
+    async def run_expiry(self) -> None:
         """Drop records that did not come back after an outage, until cancelled."""
         while True:
             await trio.sleep(0.5)
--- a/toucanhold/gateway/exchange.py
+++ b/toucanhold/gateway/exchange.py
@@ -52,8 +52,8 @@
     """
 
     listed: entries.EntryList
-    loads: load.LoadBoard
-    crashes: crashes.CrashMemory
+    loads: load.LoadTracker
+    crashes: crashes.CrashTracker
     on_silent: collections.abc.Callable[[str, str], None]
     rng: random.Random
     _urgent: waking.Signal = attrs.field(factory=waking.Signal, init=False)
@@ -78,7 +78,7 @@
         newest_s = max(self._answered_s.values(), default=float("-inf"))
         return 0.0 if self.is_root else trio.current_time() - newest_s
 
-    def note_silent(self, server_id: str) -> None:
+    def report_silent(self, server_id: str) -> None:
         """Tell all others of a silent server at once."""
         # Until they know it, they go on sending to it, and their callers wait in vain.
         if self._findings.note(server_id, self.listed.own.entry, is_local=True):
--- a/toucanhold/gateway/gateway.py
+++ b/toucanhold/gateway/gateway.py
@@ -45,8 +45,8 @@
     admission: admission.Admission
     retries: budget.RetryBudget
     health: health.Health
-    crashes: crashes.CrashMemory
-    silence: silence.SilenceWatch
+    crashes: crashes.CrashTracker
+    silence: silence.SilenceDetector
     rng: random.Random
     in_flight: int = attrs.field(default=0, init=False)
 
@@ -55,13 +55,13 @@
 
         :return: the status of a server's answer
         :raises calls.CallError: when the answer is this system's own; nothing was replied yet
-        :raises calls.AnswerLostError: when an answer broke off after its beginning
+        :raises calls.ResponseLostError: when an answer broke off after its beginning
         """
         self.in_flight += 1
         try:
             routes = self.routes.table
             if routes is None:
-                reason = calls.RefusalReason.NO_ROUTES_YET
+                reason = calls.RefusalReason.NO_CONFIGURATION
                 raise calls.CallError(reason, retry_after_s=COME_BACK_S)
             route, workspace = self._admit(routes, call)
             return await self._serve_in_time(routes, route, workspace, call, reply)
@@ -75,7 +75,7 @@
         if route is None:
             raise calls.CallError(calls.RefusalReason.NO_ROUTE)
         if len(call.body) > routes.limits.body_bytes:
-            raise calls.CallError(calls.RefusalReason.TOO_LARGE)
+            raise calls.CallError(calls.RefusalReason.BODY_TOO_LARGE)
         workspace = None
         if routes.has_workspaces and not route.is_public:
             workspace = routes.workspaces.get(call.key) if call.key is not None else None
@@ -100,9 +100,9 @@
             status = await self._try_servers(run)
         if scope.cancelled_caught:
             if run.has_replied:
-                raise calls.AnswerLostError("the time for the request is over")
+                raise calls.ResponseLostError("the time for the request is over")
             raise calls.CallError(
-                calls.RefusalReason.TOO_LATE, run.may_have_run, retry_after_s=COME_BACK_S
+                calls.RefusalReason.DEADLINE_EXCEEDED, run.may_have_run, retry_after_s=COME_BACK_S
             )
         return status
 
@@ -118,11 +118,11 @@
             except calls.NotRunError as error:
                 self._note_not_run(run, avoid, error)
                 self._check_again(run, error)
-            except calls.AnswerLostError as error:
+            except calls.ResponseLostError as error:
                 avoid.add(run.server_id)
                 run.note_lost()
                 self.health.note(run.server_id, failed=True)
-                if error.was_cut:
+                if error.is_connection_lost:
                     self.crashes.note(mark)
                 self._check_again(run, error)
             else:
@@ -151,9 +151,9 @@
                 )
         except calls.CallError as error:
             if run.has_replied:
-                raise calls.AnswerLostError(str(error)) from error
+                raise calls.ResponseLostError(str(error)) from error
             if run.may_have_run:
-                raise calls.CallError(calls.RefusalReason.ANSWER_LOST, True) from error
+                raise calls.CallError(calls.RefusalReason.RESPONSE_LOST, True) from error
             raise
 
     def _may_move(self, run: attempt.Run, avoid: set[str]) -> bool:
@@ -168,9 +168,9 @@
         if error.is_gone:
             self.health.avoid(run.server_id, str(error))
             self.silence.on_silent(run.server_id)
-        if error.at_fault:
+        if error.faulty_member:
             # The head names the member that keeps it from working: it has broken for good.
-            self.health.avoid(run.server_id, f"{error.at_fault} is at fault")
+            self.health.avoid(run.server_id, f"{error.faulty_member} is at fault")
             self.silence.on_silent(run.server_id)
 
     def _check_again(self, run: attempt.Run, error: calls.ExchangeError) -> None:
@@ -190,10 +190,10 @@
             reason=reason or None,
         )
         if reason:
-            self._give_up(run, calls.RefusalReason.ANSWER_LOST, COME_BACK_S)
+            self._give_up(run, calls.RefusalReason.RESPONSE_LOST, COME_BACK_S)
 
     def _why_not_again(self, run: attempt.Run, error: calls.ExchangeError) -> str:
-        if isinstance(error, calls.AnswerLostError):
+        if isinstance(error, calls.ResponseLostError):
             if not run.route.may_repeat:
                 return "it may have run, and may run only once"
             if run.runs >= run.route.attempts + run.fruitless:
@@ -206,9 +206,9 @@
 
     def _give_up(self, run: attempt.Run, reason: calls.RefusalReason, retry_after_s: float) -> None:
         if run.has_replied:
-            raise calls.AnswerLostError(reason.value)
+            raise calls.ResponseLostError(reason.value)
         if run.may_have_run:
-            raise calls.CallError(calls.RefusalReason.ANSWER_LOST, has_run=True)
-        if reason is calls.RefusalReason.ANSWER_LOST:
+            raise calls.CallError(calls.RefusalReason.RESPONSE_LOST, may_have_run=True)
+        if reason is calls.RefusalReason.RESPONSE_LOST:
             reason = calls.RefusalReason.NO_SERVER
         raise calls.CallError(reason, retry_after_s=retry_after_s)
--- a/toucanhold/gateway/hierarchy.py
+++ b/toucanhold/gateway/hierarchy.py
@@ -11,7 +11,7 @@
 
 # Streams that one entry serves within its availability zone. A zone of sixteen needs one level; at
 # the two-year size, 36 entries a zone, there are two.
-FOLLOWERS = 16
+MAX_FOLLOWERS_PER_ENTRY = 16
 # Entries of other zones to turn to when the own zone's are lost: zones fail by themselves.
 OTHER_ZONES = 3
 # Entries of a zone that may sum up: the second one takes over when the first does not answer.
@@ -57,7 +57,7 @@
     if not place:
         # One watch for all zones: each return of a watch is a call that is paid for.
         return [] if own.entry == planner else _planners_address(zones, planner)
-    chosen = [zone[(place - 1) // FOLLOWERS]]
+    chosen = [zone[(place - 1) // MAX_FOLLOWERS_PER_ENTRY]]
     if zone[0] not in chosen:
         chosen.append(zone[0])
     names = sorted(zones)
--- a/toucanhold/gateway/load.py
+++ b/toucanhold/gateway/load.py
@@ -20,7 +20,7 @@
 
 
 @attrs.define(eq=False)
-class LoadBoard:
+class LoadTracker:
     """Requests in flight by server, kept as totals that are updated by difference.
 
     An estimate costs the same however many entries there are.
--- a/toucanhold/gateway/sharing.py
+++ b/toucanhold/gateway/sharing.py
@@ -56,7 +56,7 @@
     return -math.log(draw) / weight(entry)
 
 
-def near(serving: collections.abc.Sequence[entries.Entry], zone: str) -> list[entries.Entry]:
+def near_zone(serving: collections.abc.Sequence[entries.Entry], zone: str) -> list[entries.Entry]:
     """Return the entries of a caller's zone, and where they are few some others.
 
     Callers in their own zone cost no bytes between zones, and go on while it is cut off.
--- a/toucanhold/gateway/silence.py
+++ b/toucanhold/gateway/silence.py
@@ -85,7 +85,7 @@
 
 
 @attrs.define(eq=False)
-class SilenceWatch:
+class SilenceDetector:
     """Watches all streams of this entry.
 
     A group that has lost a member goes on accepting requests, and nothing moves. Its registration
--- a/toucanhold/gateway/targets.py
+++ b/toucanhold/gateway/targets.py
@@ -23,23 +23,25 @@
 
 
 @attrs.define(eq=False)
-class Targets:
+class ServerSelector:
     """The servers of a service that serve now.
 
     :ivar zone: this entry's availability zone
     :ivar closed_zones: zones that get no work
-    :ivar placed: requests placed, by whether the server is in another zone
+    :ivar placement_counts: requests placed, by whether the server is in another zone
     """
 
     known: registry.Registry
     board: records.GroupBoard
-    loads: load.LoadBoard
+    loads: load.LoadTracker
     health: health.Health
     cold: budget.ColdBudget
     closed_zones: collections.abc.Set[str]
     zone: str
     rng: random.Random
-    placed: collections.Counter[bool] = attrs.field(factory=collections.Counter, init=False)
+    placement_counts: collections.Counter[bool] = attrs.field(
+        factory=collections.Counter, init=False
+    )
     # To go through all members of all groups anew for each request took most of a choice's time.
     _found: dict[tuple[str, str], list[servers.Server]] = attrs.field(factory=dict, init=False)
     _found_version: tuple[int, int] = attrs.field(default=(-1, -1), init=False)
@@ -47,7 +49,7 @@
     def note_placed(self, server: servers.Server) -> None:
         """Count a request that a server gets."""
         self.loads.add(server.server_id)
-        self.placed[server.zone != self.zone] += 1
+        self.placement_counts[server.zone != self.zone] += 1
         if server.cold_until_s > trio.current_time():
             self.cold.note(server.server_id)
 
--- a/toucanhold/platform/directory.py
+++ b/toucanhold/platform/directory.py
@@ -48,7 +48,9 @@
 
     def addresses(self, zone: str) -> list[str]:
         """Return where a caller of a zone may connect, in no order."""
-        chosen = sharing.advertised(sharing.near(self.listed.serving(), zone), zone, time.time())
+        chosen = sharing.advertised(
+            sharing.near_zone(self.listed.serving(), zone), zone, time.time()
+        )
         self.rng.shuffle(chosen)
         return [entry.callers_address for entry in chosen[:MAX_ADDRESSES]]
 
--- a/toucanhold/platform/entry.py
+++ b/toucanhold/platform/entry.py
@@ -95,7 +95,7 @@
             self.follower.run,
             self.registry.run,
             self.entries.run,
-            self.entries.watch,
+            self.entries.run_expiry,
             self.planner_lease.run,
             self.planner.run,
             self.gateway.admission.run,
@@ -125,7 +125,7 @@
         events.log(LOGGER, events.Event.ENTRY_STOPPING, in_flight=self.gateway.in_flight)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.planner_lease.release)
-            nursery.start_soon(self.entries.leave)
+            nursery.start_soon(self.entries.deregister)
             # Callers keep old answers of the directory and go on coming for that long.
             nursery.start_soon(trio.sleep, LATE_CALLERS_S)
         self._stop_serving.set()
@@ -195,14 +195,14 @@
     def _build_gateway(self) -> None:
         bounds = self.settings.bounds
         self.health = health.Health()
-        self.loads = load.LoadBoard()
-        self.crashes = crashes.CrashMemory()
+        self.loads = load.LoadTracker()
+        self.crashes = crashes.CrashTracker()
         self.exchange = exchange.Exchange(
             self.entries, self.loads, self.crashes, self._on_silent_elsewhere, self.rng
         )
-        self.silence = silence.SilenceWatch(self.health, self._note_silent)
+        self.silence = silence.SilenceDetector(self.health, self._note_silent)
         self.cold = budget.ColdBudget(bounds.cold_overage, bounds.cold_slack, self.entries)
-        self.targets = targets.Targets(
+        self.targets = targets.ServerSelector(
             self.registry,
             self.board,
             self.loads,
@@ -245,7 +245,7 @@
         self.planner.stall_s = bounds.stall_s
 
     def _note_silent(self, server_id: str) -> None:
-        self.exchange.note_silent(server_id)
+        self.exchange.report_silent(server_id)
         self.planner.suspect(server_id)
 
     def _share(self) -> float:
--- a/toucanhold/platform/front.py
+++ b/toucanhold/platform/front.py
@@ -19,15 +19,15 @@
 LOGGER = logging.getLogger(__name__)
 
 STATUSES = {
-    calls.RefusalReason.NO_ROUTES_YET: 503,
+    calls.RefusalReason.NO_CONFIGURATION: 503,
     calls.RefusalReason.NO_ROUTE: 404,
     calls.RefusalReason.UNKNOWN_KEY: 401,
     calls.RefusalReason.NO_SERVER: 503,
-    calls.RefusalReason.NO_ROOM: 503,
-    calls.RefusalReason.TOO_LATE: 503,
+    calls.RefusalReason.NO_CAPACITY: 503,
+    calls.RefusalReason.DEADLINE_EXCEEDED: 503,
     calls.RefusalReason.CRASHES_SERVERS: 503,
-    calls.RefusalReason.ANSWER_LOST: 502,
-    calls.RefusalReason.TOO_LARGE: 413,
+    calls.RefusalReason.RESPONSE_LOST: 502,
+    calls.RefusalReason.BODY_TOO_LARGE: 413,
 }
 
 
@@ -139,7 +139,7 @@
         except calls.CallError as error:
             await _refuse(reply, error)
             return error.reason.value
-        except calls.AnswerLostError as error:
+        except calls.ResponseLostError as error:
             # The app returns with the answer unfinished, and the server closes the connection:
             # what has been sent can't be taken for the whole.
             return f"broken off: {error}"
@@ -178,11 +178,11 @@
 
 async def _refuse(reply: HttpReply, error: calls.CallError) -> None:
     status = STATUSES[error.reason]
-    if error.has_run:
+    if error.may_have_run:
         # 503 would promise that the request never runs.
-        status = 504 if error.reason is calls.RefusalReason.TOO_LATE else 502
+        status = 504 if error.reason is calls.RefusalReason.DEADLINE_EXCEEDED else 502
     lines = [(b"content-type", b"text/plain")]
-    if error.retry_after_s is not None and not error.has_run:
+    if error.retry_after_s is not None and not error.may_have_run:
         lines.append((b"retry-after", f"{error.retry_after_s:.2f}".encode()))
     body = error.reason.value.encode()
     await reply.start(status, lines, len(body))
--- a/toucanhold/platform/gauges.py
+++ b/toucanhold/platform/gauges.py
@@ -23,11 +23,11 @@
             yield count, {"toucanhold.notice": kind.value, "toucanhold.zone": zone}
 
     def requests_sent() -> metrics.Observed:
-        for is_other_zone, count in entry.targets.placed.items():
+        for is_other_zone, count in entry.targets.placement_counts.items():
             yield count, {"toucanhold.zone": "other" if is_other_zone else "own"}
 
     def waiting() -> metrics.Observed:
-        yield entry.gateway.admission.waiting, {}
+        yield entry.gateway.admission.queue_length, {}
 
     def load_age() -> metrics.Observed:
         yield entry.exchange.digest_age_s, {}
--- a/toucanhold/platform/servers.py
+++ b/toucanhold/platform/servers.py
@@ -43,7 +43,7 @@
 
     @contextlib.asynccontextmanager
     async def exchange(
-        self, server: servers.Server, forwarded: calls.Forwarded
+        self, server: servers.Server, forwarded: calls.ForwardedCall
     ) -> collections.abc.AsyncIterator[calls.Response]:
         """See :class:`calls.ServerClient`."""
         connection = await _connect(server.address, min(CONNECT_TIMEOUT_S, forwarded.remaining_s))
@@ -71,7 +71,7 @@
             status, _ = await self._control(server, b"POST", b"/order", json.dumps(body).encode())
         except calls.NotRunError:
             return orders.OrderOutcome.UNREACHABLE
-        except calls.AnswerLostError:
+        except calls.ResponseLostError:
             return orders.OrderOutcome.LOST
         if status == 202:
             return orders.OrderOutcome.BEGUN
@@ -119,12 +119,12 @@
                 async for chunk in response.aiter_stream():
                     content += chunk
                     if len(content) > REPORT_LIMIT_BYTES:
-                        raise calls.AnswerLostError(f"{server.server_id}: oversized answer")
+                        raise calls.ResponseLostError(f"{server.server_id}: oversized answer")
             if response.status == 421:
                 raise calls.NotRunError(f"{server.server_id}: another server", is_gone=True)
             return response.status, bytes(content)
         except trio.TooSlowError as error:
-            raise calls.AnswerLostError(f"{server.server_id}: no answer in time") from error
+            raise calls.ResponseLostError(f"{server.server_id}: no answer in time") from error
         finally:
             with trio.CancelScope(shield=True):
                 await connection.aclose()
@@ -150,7 +150,7 @@
     return httpcore.URL(scheme=b"http", host=host.encode(), port=int(port), target=target)
 
 
-def _request(server: servers.Server, forwarded: calls.Forwarded) -> httpcore.Request:
+def _request(server: servers.Server, forwarded: calls.ForwardedCall) -> httpcore.Request:
     call = forwarded.call
     lines = [
         (b"host", call.host.encode()),
@@ -178,19 +178,19 @@
         )
     if headers.find(response.headers, headers.NOT_RUN):
         raise calls.NotRunError(
-            f"{server.server_id}: refused with status {response.status}", at_fault=at_fault
+            f"{server.server_id}: refused with status {response.status}", faulty_member=at_fault
         )
 
 
 def _check_identity(call: calls.Call, response: httpcore.Response) -> None:
     found = headers.find(response.headers, headers.CALL_ID)
     if found and found != call.call_id:
-        raise calls.AnswerLostError(f"an answer to another request, {found}")
+        raise calls.ResponseLostError(f"an answer to another request, {found}")
     if 200 <= response.status < 300:
         if not headers.find(response.headers, headers.SEAL):
-            raise calls.AnswerLostError("a success without the server's signature")
+            raise calls.ResponseLostError("a success without the server's signature")
         if headers.find(response.headers, b"content-encoding"):
-            raise calls.AnswerLostError("an encoded answer was not asked for")
+            raise calls.ResponseLostError("an encoded answer was not asked for")
 
 
 async def _chunks(
@@ -207,7 +207,7 @@
         yield
     except TRANSFER_ERRORS as error:
         detail = f"{server.server_id}: connection lost: {error!r}"
-        raise calls.AnswerLostError(detail, was_cut=True) from error
+        raise calls.ResponseLostError(detail, is_connection_lost=True) from error
 
 
 def _order_body(order: orders.Order) -> dict:
