--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -22,10 +22,10 @@
         self.copy = mirror.Mirror()
         client = memory.MemoryPlatform().client("own")
         own = gateways.new_entry("own")
-        self.listed = entries.EntryList(own, client, self.copy, random.Random(1))
+        self.entry_list = entries.EntryList(own, client, self.copy, random.Random(1))
 
     def _names(self):
-        return {entry.entry: entry.boot for entry in self.listed.others()}
+        return {entry.entry: entry.boot for entry in self.entry_list.others()}
 
     @clocked.on_test_clock
     async def test_one_change_decodes_one_record(self):
@@ -34,9 +34,9 @@
         self.copy.replace(keyvalue.RangeResult(195, items))
         with mock.patch.object(codec, "from_json", wraps=codec.from_json) as decode:
             self.copy.apply(mirror.Changes(195, 196, (new_item("e195", 196),)))
-            self.listed._refresh()
+            self.entry_list._refresh_others()
         self.assertEqual(1, decode.call_count)
-        self.assertEqual(196, len(self.listed.others()))
+        self.assertEqual(196, len(self.entry_list.others()))
 
     @clocked.on_test_clock
     async def test_the_newest_start_of_an_entry_counts(self):
@@ -46,8 +46,8 @@
         old = mirror.Deletion(f"{entries.ENTRIES_PREFIX}e1/b1", 3)
         self.copy.apply(mirror.Changes(2, 3, (), (old,)))
         self.assertEqual({"e1": "b2"}, self._names())
-        self.assertIsNone(self.listed.find("e1", "b1"))
-        self.assertEqual("b2", self.listed.find("e1", "b2").boot)
+        self.assertIsNone(self.entry_list.find("e1", "b1"))
+        self.assertEqual("b2", self.entry_list.find("e1", "b2").boot)
 
     @clocked.on_test_clock
     async def test_an_unreadable_record_harms_no_other(self):
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -27,14 +27,14 @@
     def __attrs_post_init__(self):
         address = standins.free_address()
         own = entries.Entry(self.name, self.zone, "r", address, address, "b1", self.cores)
-        self.listed = gateways.FixedList(own)
+        self.entry_list = gateways.FixedList(own)
         self.loads = load.LoadTracker()
         self.health = health.Health()
         self.crashes = crashes.CrashTracker()
         self.silent = []
         self.watch = silence.SilenceDetector(self.health, self.silent.append)
         self.exchange = exchange.Exchange(
-            self.listed, self.loads, self.crashes, self._on_silent, random.Random(1)
+            self.entry_list, self.loads, self.crashes, self._on_silent, random.Random(1)
         )
         self.scope = trio.CancelScope()
 
@@ -55,7 +55,7 @@
         for n in range(entries_a_zone)
     ]
     for side in sides:
-        side.listed.known += [each.listed.own for each in sides if each is not side]
+        side.entry_list.known += [each.entry_list.own for each in sides if each is not side]
     return sides
 
 
@@ -73,8 +73,8 @@
         one, two = new_site("a", 2)
         one.loads.add("s1")
         two.exchange.report_silent("s9")
-        for _ in range(crashes.CRASHES_LIMIT):
-            one.crashes.note("mark")
+        for _ in range(crashes.CRASH_THRESHOLD):
+            one.crashes.record_crash("mark")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(one.run)
             nursery.start_soon(two.run)
@@ -82,7 +82,7 @@
             await until(lambda: one.silent)
             nursery.cancel_scope.cancel()
         self.assertTrue(one.health.is_avoided("s9"))
-        self.assertTrue(two.crashes.is_dangerous("mark"))
+        self.assertTrue(two.crashes.is_blocked("mark"))
 
     def test_every_entry_learns_the_total_of_all_zones(self):
         """Guards against heads that entries of several zones fill at once."""
@@ -115,7 +115,7 @@
             left = sides[1:]
             sides[3].loads.add("s1")
             await until(lambda: all(side.loads.estimate("s1") == 2 for side in left))
-            self.assertTrue(sides[1].exchange.is_root)
+            self.assertTrue(sides[1].exchange.is_active_aggregator)
             nursery.cancel_scope.cancel()
 
     def test_a_silent_server_is_told_to_all_zones_at_once(self):
@@ -127,7 +127,7 @@
         async with trio.open_nursery() as nursery:
             for side in sides:
                 nursery.start_soon(side.run)
-            await until(lambda: all(not each.exchange.is_root for each in sides[1:6]))
+            await until(lambda: all(not each.exchange.is_active_aggregator for each in sides[1:6]))
             await trio.sleep(0.5)
             sides[4].exchange.report_silent("s9")
             await until(lambda: all(side.silent for side in sides if side is not sides[4]))
@@ -142,7 +142,7 @@
 
     async def _send_rubbish(self):
         one, two = new_site("a", 2)
-        host, port = one.listed.own.exchange_address.split(":")
+        host, port = one.entry_list.own.exchange_address.split(":")
         good = {
             "kind": "report",
             "entry": two.name,
@@ -193,7 +193,7 @@
                 for n in range(size)
             ]
             side = Side("own", "a", 0.1)
-            side.listed.known = known
+            side.entry_list.known = known
             chosen[size] = len(side.exchange.upstream())
         self.assertEqual({3: 2, 39: 2}, chosen)
 
@@ -201,7 +201,9 @@
     async def test_an_entry_whose_aggregators_are_silent_speaks_for_itself_alone(self):
         """Guards against zones whose totals each entry replaces with its own counts."""
         sides = new_site("a", 4)
-        self.assertEqual([True, True, False, False], [side.exchange.is_root for side in sides])
+        self.assertEqual(
+            [True, True, False, False], [side.exchange.is_active_aggregator for side in sides]
+        )
 
     def test_a_notice_of_very_many_servers_fits_a_datagram(self):
         counts = {f"i-{n:016x}": n % 7 for n in range(5000)}
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -149,8 +149,8 @@
         async with scene.running():
             for number in range(30):
                 await scene.ask(gateways.new_call("/orders/1", body=str(number).encode()))
-        failed = sum(name == "b0" for name, _ in scene.desk.runs)
-        self.assertLess(failed, 6)
+        is_failure = sum(name == "b0" for name, _ in scene.desk.runs)
+        self.assertLess(is_failure, 6)
 
 
 class StreamTest(unittest.TestCase):
@@ -274,7 +274,7 @@
                 scene.health.avoid("b0", "no connection")
             await trio.sleep(0.1)
         self.assertLessEqual(len(tries), 5)
-        scene.health.note("b0", failed=False)
+        scene.health.record_outcome("b0", is_failure=False)
         await trio.sleep(13)
         scene.health.avoid("b0", "no connection")
         await trio.sleep(1.6)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,55 +12,57 @@
 HEADS = [f"s{n}" for n in range(75)]
 
 
-def board_of(sources):
-    board = load.LoadTracker()
+def new_tracker(sources):
+    tracker = load.LoadTracker()
     for number in range(sources):
-        board.put(f"e{number}", {head: 1 for head in HEADS[number % 60 : number % 60 + 9]}, 60.0)
-    return board
+        tracker.update_source(
+            f"e{number}", {head: 1 for head in HEADS[number % 60 : number % 60 + 9]}, 60.0
+        )
+    return tracker
 
 
-def estimate_all(board):
-    return [board.estimate(head) for head in HEADS]
+def estimate_all(tracker):
+    return [tracker.estimate(head) for head in HEADS]
 
 
 class LoadBoardTest(unittest.TestCase):
     @clocked.on_test_clock
     async def test_a_new_report_replaces_the_old_one(self):
-        board = load.LoadTracker()
-        board.put("e1", {"s1": 3, "s2": 1}, 1.0)
-        board.put("e2", {"s1": 1}, 1.0)
-        board.put("e1", {"s1": 2}, 1.0)
-        board.add("s1")
-        self.assertEqual([4, 0], [board.estimate("s1"), board.estimate("s2")])
+        tracker = load.LoadTracker()
+        tracker.update_source("e1", {"s1": 3, "s2": 1}, 1.0)
+        tracker.update_source("e2", {"s1": 1}, 1.0)
+        tracker.update_source("e1", {"s1": 2}, 1.0)
+        tracker.add("s1")
+        self.assertEqual([4, 0], [tracker.estimate("s1"), tracker.estimate("s2")])
 
     @clocked.on_test_clock
     async def test_a_dead_entrys_requests_stop_counting(self):
         """Guards against servers that look busy with requests of an entry that was killed."""
 
-        board = load.LoadTracker()
-        board.put("e1", {"s1": 5}, 1.0)
-        board.put("e2", {"s1": 2}, 3.0)
+        tracker = load.LoadTracker()
+        tracker.update_source("e1", {"s1": 5}, 1.0)
+        tracker.update_source("e2", {"s1": 2}, 3.0)
         await trio.sleep(2.0)
-        self.assertEqual(2, board.estimate("s1"))
+        self.assertEqual(2, tracker.estimate("s1"))
         await trio.sleep(2.0)
-        self.assertEqual(0, board.estimate("s1"))
+        self.assertEqual(0, tracker.estimate("s1"))
 
     @clocked.on_test_clock
     async def test_a_digest_leaves_its_receiver_out(self):
-        board = load.LoadTracker()
-        board.put("e1", {"s1": 5, "s2": 1}, 1.0, is_local=True)
-        board.put("zone b", {"s1": 2}, 1.0)
-        board.add("s3")
-        self.assertEqual({"s1": 2, "s3": 1}, board.without("e1"))
-        self.assertEqual({"s1": 5, "s2": 1, "s3": 1}, board.local())
+        tracker = load.LoadTracker()
+        tracker.update_source("e1", {"s1": 5, "s2": 1}, 1.0, is_local=True)
+        tracker.update_source("zone b", {"s1": 2}, 1.0)
+        tracker.add("s3")
+        self.assertEqual({"s1": 2, "s3": 1}, tracker.counts_without("e1"))
+        self.assertEqual({"s1": 5, "s2": 1, "s3": 1}, tracker.local_counts())
 
     def test_a_request_that_ends_twice_leaves_no_debt(self):
-        board = load.LoadTracker()
-        board.add("s1")
-        board.remove("s1")
-        board.remove("s1")
-        board.add("s1")
-        self.assertEqual(1, board.own["s1"])
+        tracker = load.LoadTracker()
+        tracker.add("s1")
+        tracker.remove("s1")
+        tracker.remove("s1")
+        tracker.add("s1")
+        self.assertEqual(1, tracker.own["s1"])
 
     @clocked.on_test_clock
     async def test_an_estimate_costs_the_same_among_hundreds_of_entries(self):
@@ -68,6 +70,6 @@
 
         seconds = []
         for sources in (6, 194):
-            board = board_of(sources)
-            seconds.append(min(timeit.repeat(functools.partial(estimate_all, board), number=5)))
+            tracker = new_tracker(sources)
+            seconds.append(min(timeit.repeat(functools.partial(estimate_all, tracker), number=5)))
         self.assertLess(seconds[1], 2 * seconds[0])
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -38,7 +38,7 @@
         counts = collections.Counter()
         for slot in range(400):
             for zone in ("z0", "z1", "z2", "z3"):
-                names = sharing.advertised(known, zone, slot * sharing.SLOT_S)
+                names = sharing.advertised(known, zone, slot * sharing.ROTATION_PERIOD_S)
                 for entry in names:
                     counts[entry.entry] += 1 / len(names)
         total = sum(counts.values())
@@ -90,11 +90,11 @@
         """Return how many requests each entry may send within a second."""
         counts = []
         for own in known:
-            listed = gateways.FixedList(own, [each for each in known if each is not own])
-            cold = budget.ColdBudget(1.5, 5, listed)
+            entry_list = gateways.FixedList(own, [each for each in known if each is not own])
+            cold = budget.ColdBudget(1.5, 5, entry_list)
             sent = 0
             while cold.may_send(server, 17.0):
-                cold.note(server.server_id)
+                cold.record_request(server.server_id)
                 sent += 1
             counts.append(sent)
         return counts
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -59,7 +59,7 @@
         self.board.put(records.Group(record, epoch, epoch))
 
     def _found(self):
-        return [server.server_id for server in self.targets.find(SERVICE, "large")]
+        return [server.server_id for server in self.targets.find_candidates(SERVICE, "large")]
 
     @clocked.on_test_clock
     async def test_changes_of_heads_groups_and_zones_are_seen_at_once(self):
--- a/toucanhold/gateway/admission.py
+++ b/toucanhold/gateway/admission.py
@@ -20,18 +20,18 @@
 from toucanhold.routes import table
 
 # Room also appears without an event of this entry: others finish, groups form, servers warm up.
-LOOK_AGAIN_S = 0.02
+DISPATCH_INTERVAL_S = 0.02
 # A caller told to come back finds room: groups form again within about a second of a loss.
 RETRY_AFTER_S = 0.8
-RETRY_SPREAD_S = 0.4
+RETRY_JITTER_S = 0.4
 
 
 @attrs.define(eq=False, order=False)
 class _Waiter:
     service: table.Service
     model: str
-    timely_until_s: float
-    avoid: collections.abc.Set[str]
+    latest_start_s: float
+    excluded: collections.abc.Set[str]
     placed: trio.Event = attrs.field(factory=trio.Event)
     server: servers.Server | None = None
 
@@ -42,20 +42,26 @@
 
     targets: targets.ServerSelector
     _queue: list[tuple[int, int, _Waiter]] = attrs.field(factory=list, init=False)
-    _filled: trio.Event = attrs.field(factory=trio.Event, init=False)
-    _numbers: collections.abc.Iterator[int] = attrs.field(factory=itertools.count, init=False)
+    _queue_filled: trio.Event = attrs.field(factory=trio.Event, init=False)
+    _arrival_numbers: collections.abc.Iterator[int] = attrs.field(
+        factory=itertools.count, init=False
+    )
 
     @property
     def queue_length(self) -> int:
         """Requests that wait now."""
         return len(self._queue)
 
-    def has_room(self, service: table.Service, model: str, avoid: collections.abc.Set[str]) -> bool:
+    def has_capacity(
+        self, service: table.Service, model: str, excluded: collections.abc.Set[str]
+    ) -> bool:
         """Tell whether a server other than those to avoid has room now."""
-        found = [
-            server for server in self.targets.find(service, model) if server.server_id not in avoid
+        candidates = [
+            server
+            for server in self.targets.find_candidates(service, model)
+            if server.server_id not in excluded
         ]
-        return self.targets.choose(service, found, frozenset()) is not None
+        return self.targets.choose(service, candidates, frozenset()) is not None
 
     @contextlib.asynccontextmanager
     async def place(
@@ -63,104 +69,109 @@
         service: table.Service,
         model: str,
         rank: int,
-        patience_s: float,
-        timely_until_s: float,
-        avoid: collections.abc.Set[str] = frozenset(),
+        max_wait_s: float,
+        latest_start_s: float,
+        excluded: collections.abc.Set[str] = frozenset(),
     ) -> collections.abc.AsyncIterator[servers.Server]:
         """Hold room on a server while the context is open.
 
-        :param patience_s: longest wait
-        :param timely_until_s: time of the run's clock after which its answer is late
+        :param max_wait_s: longest wait
+        :param latest_start_s: time of the run's clock after which its answer is late
         :raises calls.CallError: when there is no room in time, or cannot be
         """
-        server = self._try_at_once(service, model, avoid)
+        server = self._try_place_immediately(service, model, excluded)
         if server is None:
-            server = await self._wait(service, model, rank, patience_s, timely_until_s, avoid)
+            server = await self._wait_in_queue(
+                service, model, rank, max_wait_s, latest_start_s, excluded
+            )
         try:
             yield server
         finally:
             self.targets.loads.remove(server.server_id)
-            self.pump()
+            self.dispatch()
 
     async def run(self) -> None:
         """Look for room at an interval, until cancelled."""
         while True:
             if not self._queue:
-                await self._filled.wait()
-                self._filled = trio.Event()
-            await trio.sleep(LOOK_AGAIN_S)
-            self.pump()
+                await self._queue_filled.wait()
+                self._queue_filled = trio.Event()
+            await trio.sleep(DISPATCH_INTERVAL_S)
+            self.dispatch()
 
-    def pump(self) -> None:
+    def dispatch(self) -> None:
         """Give room to those that wait, in their order."""
         now_s = trio.current_time()
-        waiting, self._queue = self._queue, []
+        queued, self._queue = self._queue, []
         # Stable: who came first goes first among equals.
-        waiting.sort(key=lambda each: (each[0], each[-1].timely_until_s < now_s, each[1]))
-        full: set[tuple[str, str]] = set()
-        for entry in waiting:
-            waiter = entry[-1]
-            kind = waiter.service.name, waiter.model
+        queued.sort(key=lambda item: (item[0], item[-1].latest_start_s < now_s, item[1]))
+        full_keys: set[tuple[str, str]] = set()
+        for item in queued:
+            waiter = item[-1]
+            key = waiter.service.name, waiter.model
             server = None
-            if kind not in full:
-                server = self._choose(waiter.service, waiter.model, waiter.avoid)
+            if key not in full_keys:
+                server = self._try_place(waiter.service, waiter.model, waiter.excluded)
             if server is None:
-                full.add(kind)
-                self._queue.append(entry)
+                full_keys.add(key)
+                self._queue.append(item)
                 continue
             waiter.server = server
             waiter.placed.set()
 
-    def _try_at_once(
-        self, service: table.Service, model: str, avoid: collections.abc.Set[str]
+    def _try_place_immediately(
+        self, service: table.Service, model: str, excluded: collections.abc.Set[str]
     ) -> servers.Server | None:
         if any(
-            each.service.name == service.name and each.model == model for *_, each in self._queue
+            waiter.service.name == service.name and waiter.model == model
+            for *_, waiter in self._queue
         ):
             return None
-        return self._choose(service, model, avoid)
+        return self._try_place(service, model, excluded)
 
-    def _choose(
-        self, service: table.Service, model: str, avoid: collections.abc.Set[str]
+    def _try_place(
+        self, service: table.Service, model: str, excluded: collections.abc.Set[str]
     ) -> servers.Server | None:
-        found = self.targets.find(service, model)
-        server = self.targets.choose(service, found, avoid)
+        candidates = self.targets.find_candidates(service, model)
+        server = self.targets.choose(service, candidates, excluded)
         if server is not None:
-            self.targets.note_placed(server)
+            self.targets.record_placement(server)
         return server
 
-    async def _wait(
+    async def _wait_in_queue(
         self,
         service: table.Service,
         model: str,
         rank: int,
-        patience_s: float,
-        timely_until_s: float,
-        avoid: collections.abc.Set[str],
+        max_wait_s: float,
+        latest_start_s: float,
+        excluded: collections.abc.Set[str],
     ) -> servers.Server:
-        if not self.targets.find(service, model) and not self._may_come(service, model):
-            raise self._refusal(calls.RefusalReason.NO_SERVER)
-        waiter = _Waiter(service, model, timely_until_s, avoid)
-        entry = (rank, next(self._numbers), waiter)
-        self._filled.set()
-        self._queue.append(entry)
+        if not self.targets.find_candidates(service, model) and not self._may_become_available(
+            service, model
+        ):
+            raise self._new_refusal(calls.RefusalReason.NO_SERVER)
+        waiter = _Waiter(service, model, latest_start_s, excluded)
+        item = (rank, next(self._arrival_numbers), waiter)
+        self._queue_filled.set()
+        self._queue.append(item)
         try:
-            with trio.move_on_after(patience_s):
+            with trio.move_on_after(max_wait_s):
                 await waiter.placed.wait()
         except trio.Cancelled:
             if waiter.server is not None:
                 self.targets.loads.remove(waiter.server.server_id)
             raise
         finally:
-            if entry in self._queue:
-                self._queue.remove(entry)
+            if item in self._queue:
+                self._queue.remove(item)
         if waiter.server is None:
-            raise self._refusal(calls.RefusalReason.NO_CAPACITY)
+            raise self._new_refusal(calls.RefusalReason.NO_CAPACITY)
         return waiter.server
 
-    def _may_come(self, service: table.Service, model: str) -> bool:
-        return service.engine is None or self.targets.may_serve_soon(service, model)
+    def _may_become_available(self, service: table.Service, model: str) -> bool:
+        return service.engine is None or self.targets.is_group_forming(service, model)
 
-    def _refusal(self, reason: calls.RefusalReason) -> calls.CallError:
-        spread_s = self.targets.rng.uniform(0, RETRY_SPREAD_S)
-        return calls.CallError(reason, retry_after_s=RETRY_AFTER_S + spread_s)
+    def _new_refusal(self, reason: calls.RefusalReason) -> calls.CallError:
+        jitter_s = self.targets.rng.uniform(0, RETRY_JITTER_S)
+        return calls.CallError(reason, retry_after_s=RETRY_AFTER_S + jitter_s)
--- a/toucanhold/gateway/budget.py
+++ b/toucanhold/gateway/budget.py
@@ -11,27 +11,27 @@
 from toucanhold.gateway import entries, sharing
 from toucanhold.registry import servers
 
-BUCKETS = 10
+BUCKETS_PER_WINDOW = 10
 # The part of the bound that entries use: their counts begin and end at different moments, and
 # entries that come and go briefly change the parts.
-USED_PART = 0.7
+USABLE_FRACTION = 0.7
 
 
 @attrs.define
-class _Window:
+class _SlidingWindow:
     """Counts by moment over a sliding window."""
 
     bucket_s: float
     _counts: collections.deque[list[float]] = attrs.field(factory=collections.deque)
 
     def add(self) -> None:
-        number = trio.current_time() // self.bucket_s
-        if not self._counts or self._counts[-1][0] != number:
-            self._counts.append([number, 0])
+        bucket = trio.current_time() // self.bucket_s
+        if not self._counts or self._counts[-1][0] != bucket:
+            self._counts.append([bucket, 0])
         self._counts[-1][1] += 1
 
     def total(self) -> float:
-        oldest = trio.current_time() // self.bucket_s - BUCKETS
+        oldest = trio.current_time() // self.bucket_s - BUCKETS_PER_WINDOW
         while self._counts and self._counts[0][0] < oldest:
             self._counts.popleft()
         return sum(count for _, count in self._counts)
@@ -55,30 +55,30 @@
 
     bound: RetryBound
     share: collections.abc.Callable[[], float]
-    _requests: dict[str, _Window] = attrs.field(factory=dict, init=False)
-    _repeats: dict[str, _Window] = attrs.field(factory=dict, init=False)
+    _requests: dict[str, _SlidingWindow] = attrs.field(factory=dict, init=False)
+    _retries: dict[str, _SlidingWindow] = attrs.field(factory=dict, init=False)
 
-    def note_request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a caller's request."""
         self._window(self._requests, service).add()
 
-    def take(self, service: str) -> bool:
+    def try_acquire(self, service: str) -> bool:
         """Use one repeat, or tell that there is none left."""
-        if not self.is_left(service):
+        if not self.has_remaining(service):
             return False
-        self._window(self._repeats, service).add()
+        self._window(self._retries, service).add()
         return True
 
-    def is_left(self, service: str) -> bool:
+    def has_remaining(self, service: str) -> bool:
         """Tell whether a repeat is left."""
-        repeats = self._window(self._repeats, service).total()
+        retries = self._window(self._retries, service).total()
         requests = self._window(self._requests, service).total()
         slack = self.bound.slack * self.share()
-        return repeats + 1 <= USED_PART * (self.bound.ratio * requests + slack)
+        return retries + 1 <= USABLE_FRACTION * (self.bound.ratio * requests + slack)
 
-    def _window(self, windows: dict[str, _Window], service: str) -> _Window:
+    def _window(self, windows: dict[str, _SlidingWindow], service: str) -> _SlidingWindow:
         if service not in windows:
-            windows[service] = _Window(self.bound.window_s / BUCKETS)
+            windows[service] = _SlidingWindow(self.bound.window_s / BUCKETS_PER_WINDOW)
         return windows[service]
 
 
@@ -88,44 +88,44 @@
 
     :ivar overage: factor on what a server says that it bears
     :ivar slack: requests a second beyond that, over all entries
-    :ivar listed: the entries that share the bound
+    :ivar entry_list: the entries that share the bound
     """
 
     overage: float
     slack: float
-    listed: entries.EntryList
+    entry_list: entries.EntryList
     _quotas: dict[tuple[str, float], int] = attrs.field(factory=dict, init=False)
     _version: int = attrs.field(default=-1, init=False)
-    _sent_s: dict[str, collections.deque[float]] = attrs.field(factory=dict, init=False)
+    _sent_times_s: dict[str, collections.deque[float]] = attrs.field(factory=dict, init=False)
 
-    def may_send(self, server: servers.Server, bears_per_s: float) -> bool:
+    def may_send(self, server: servers.Server, max_requests_per_s: float) -> bool:
         """Tell whether one more request may go to a cold server."""
-        total = USED_PART * (bears_per_s * self.overage + self.slack)
-        return len(self._recent(server.server_id)) < self._quota(server, total)
+        total = USABLE_FRACTION * (max_requests_per_s * self.overage + self.slack)
+        return len(self._recent_sends(server.server_id)) < self._quota(server, total)
 
-    def note(self, server_id: str) -> None:
+    def record_request(self, server_id: str) -> None:
         """Count a request that is sent to a cold server."""
-        self._recent(server_id).append(trio.current_time())
+        self._recent_sends(server_id).append(trio.current_time())
 
     def _quota(self, server: servers.Server, total: float) -> int:
-        if self._version != self.listed.version:
-            self._version = self.listed.version
+        if self._version != self.entry_list.version:
+            self._version = self.entry_list.version
             self._quotas.clear()
         key = server.server_id, total
         if key not in self._quotas:
-            self._quotas[key] = self._new_quota(server, total)
+            self._quotas[key] = self._compute_quota(server, total)
         return self._quotas[key]
 
-    def _new_quota(self, server: servers.Server, total: float) -> int:
+    def _compute_quota(self, server: servers.Server, total: float) -> int:
         # Most requests reach a server from entries of its zone.
-        own, others = self.listed.own, self.listed.others()
-        near = [entry for entry in others if entry.zone == server.zone]
+        own, others = self.entry_list.own, self.entry_list.others()
+        zone_entries = [entry for entry in others if entry.zone == server.zone]
         if own.zone == server.zone:
-            return sharing.quota(total, server.server_id, own, near)
-        return 0 if near else sharing.quota(total, server.server_id, own, others)
-
-    def _recent(self, server_id: str) -> collections.deque[float]:
-        sent = self._sent_s.setdefault(server_id, collections.deque())
-        while sent and sent[0] < trio.current_time() - 1.0:
-            sent.popleft()
-        return sent
+            return sharing.quota(total, server.server_id, own, zone_entries)
+        return 0 if zone_entries else sharing.quota(total, server.server_id, own, others)
+
+    def _recent_sends(self, server_id: str) -> collections.deque[float]:
+        sent_times_s = self._sent_times_s.setdefault(server_id, collections.deque())
+        while sent_times_s and sent_times_s[0] < trio.current_time() - 1.0:
+            sent_times_s.popleft()
+        return sent_times_s
--- a/toucanhold/gateway/calls.py
+++ b/toucanhold/gateway/calls.py
@@ -54,10 +54,10 @@
     :ivar is_gone: whether another server or none listens at the address
     """
 
-    def __init__(self, detail: str, is_gone: bool = False, faulty_member: str = "") -> None:
+    def __init__(self, detail: str, is_gone: bool = False, at_fault: str = "") -> None:
         super().__init__(detail)
         self.is_gone = is_gone
-        self.faulty_member = faulty_member
+        self.at_fault = at_fault
 
 
 class ResponseLostError(ExchangeError):
--- a/toucanhold/gateway/entries.py
+++ b/toucanhold/gateway/entries.py
@@ -55,11 +55,11 @@
     version: int = attrs.field(default=0, init=False)
     _records: dict[str, tuple[int, Entry]] = attrs.field(factory=dict, init=False)
     _others: dict[str, Entry] = attrs.field(factory=dict, init=False)
-    _held: lease.LeasedKey = attrs.field(init=False)
+    _leased_key: lease.LeasedKey = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Follow the records."""
-        self._held = lease.LeasedKey(
+        self._leased_key = lease.LeasedKey(
             self.client,
             self._own_key,
             codec.to_json(self.own),
@@ -69,16 +69,16 @@
             # in the lease's time; renewing costs a tenth of that.
             is_contended=False,
         )
-        self.source.listen(ENTRIES_PREFIX, self._take)
+        self.source.listen(ENTRIES_PREFIX, self._apply_changes)
 
     async def run(self) -> None:
         """Keep the own record until cancelled or stopped."""
-        await self._held.run()
+        await self._leased_key.run()
 
     async def deregister(self) -> None:
         """Take the own record away for good."""
         self.is_stopping = True
-        await self._held.release()
+        await self._leased_key.release()
 
     def others(self) -> list[Entry]:
         """Return the other entries that are there."""
@@ -86,8 +86,8 @@
 
     def find(self, name: str, boot: str) -> Entry | None:
         """Return another entry, unless it is unknown or has started again since."""
-        found = self._others.get(name)
-        return found if found is not None and found.boot == boot else None
+        entry = self._others.get(name)
+        return entry if entry is not None and entry.boot == boot else None
 
     def serving(self) -> list[Entry]:
         """Return the entries that callers may be sent to."""
@@ -97,7 +97,7 @@
     def _own_key(self) -> str:
         return f"{ENTRIES_PREFIX}{self.own.entry}/{self.own.boot}"
 
-    def _take(self, keys: frozenset[str]) -> None:
+    def _apply_changes(self, keys: frozenset[str]) -> None:
         for key in keys:
             self._records.pop(key, None)
             item = self.source.items.get(key)
@@ -107,29 +107,29 @@
                 self._records[key] = item.create_revision, codec.from_json(item.value, Entry)
             except codec.CodecError as error:
                 LOGGER.warning("the record %s is not readable: %s", key, error)
-        self._refresh()
+        self._refresh_others()
 
-    def _refresh(self) -> None:
-        found: dict[str, tuple[int, Entry]] = {}
+    def _refresh_others(self) -> None:
+        newest: dict[str, tuple[int, Entry]] = {}
         for create_revision, entry in self._records.values():
-            newest = found.get(entry.entry, (0, entry))
+            previous = newest.get(entry.entry, (0, entry))
             # A machine that was killed and is back stands here twice until its old lease ends.
-            if entry.entry != self.own.entry and create_revision > newest[0]:
-                found[entry.entry] = create_revision, entry
-        self._replace({name: entry for name, (_, entry) in found.items()})
+            if entry.entry != self.own.entry and create_revision > previous[0]:
+                newest[entry.entry] = create_revision, entry
+        self._set_others({name: entry for name, (_, entry) in newest.items()})
 
-    def _replace(self, found: dict[str, Entry]) -> None:
+    def _set_others(self, others: dict[str, Entry]) -> None:
         if self.source.since_failure_s < LAPSE_GRACE_S:
-            found = self._others | found
-        for name in found.keys() - self._others.keys():
-            events.log(LOGGER, events.Event.ENTRY_JOINED, entry=name, zone=found[name].zone)
-        for name in self._others.keys() - found.keys():
+            others = self._others | others
+        for name in others.keys() - self._others.keys():
+            events.log(LOGGER, events.Event.ENTRY_JOINED, entry=name, zone=others[name].zone)
+        for name in self._others.keys() - others.keys():
             events.log(LOGGER, events.Event.ENTRY_LEFT, entry=name)
-        self.version += self._others != found
-        self._others = found
+        self.version += self._others != others
+        self._others = others
 
     async def run_expiry(self) -> None:
         """Drop records that did not come back after an outage, until cancelled."""
         while True:
             await trio.sleep(0.5)
-            self._refresh()
+            self._refresh_others()
--- a/toucanhold/gateway/exchange.py
+++ b/toucanhold/gateway/exchange.py
@@ -26,19 +26,19 @@
 # Summaries go to the two aggregators of each other zone in turn.
 SUMMARY_INTERVAL_S = 0.15
 # Control traffic of an entry; where digests are long, reports are sent less often.
-CONTROL_BYTES_PER_S = 8000
+MAX_CONTROL_BYTES_PER_S = 8000
 MAX_REPORT_INTERVAL_S = 0.3
 # An aggregator that leaves reports unanswered for so long is passed over: it may be dead, paused
 # or cut off.
-ANSWER_LIMIT_S = 0.7
+AGGREGATOR_TIMEOUT_S = 0.7
 # What an entry reported counts for so long; one that died has nothing in flight.
-VALID_S = 1.0
-CRASHES_LIMIT = 16
+REPORT_VALIDITY_S = 1.0
+MAX_CRASH_COUNTS = 16
 # Old counts of lost connections are repeated in one notice out of so many, for restarted entries.
-FULL_CRASHES_EVERY = 10
-RECENT_CRASH_S = 3.0
-MAX_WARNED = 1000
-UPSTREAM = "upstream"
+FULL_CRASHES_EVERY_NOTICES = 10
+RECENT_CRASH_MAX_AGE_S = 3.0
+MAX_WARNED_SENDERS = 1000
+UPSTREAM_SOURCE = "upstream"
 
 LOGGER = logging.getLogger(__name__)
 
@@ -51,23 +51,25 @@
     :ivar sent_bytes: by kind of notice, and whether the receiver is in another availability zone
     """
 
-    listed: entries.EntryList
+    entry_list: entries.EntryList
     loads: load.LoadTracker
     crashes: crashes.CrashTracker
     on_silent: collections.abc.Callable[[str, str], None]
     rng: random.Random
-    _urgent: waking.Signal = attrs.field(factory=waking.Signal, init=False)
+    _urgent_signal: waking.Signal = attrs.field(factory=waking.Signal, init=False)
     _is_urgent: bool = attrs.field(default=False, init=False)
-    _findings: findings.Findings = attrs.field(factory=findings.Findings, init=False)
+    _silence_reports: findings.SilenceReports = attrs.field(
+        factory=findings.SilenceReports, init=False
+    )
     _aggregators: dict[str, list[entries.Entry]] = attrs.field(factory=dict, init=False)
-    _known_version: int = attrs.field(default=-1, init=False)
-    _answered_s: dict[str, float] = attrs.field(factory=dict, init=False)
-    _reporters_s: dict[str, float] = attrs.field(factory=dict, init=False)
+    _aggregators_version: int = attrs.field(default=-1, init=False)
+    _last_digest_s: dict[str, float] = attrs.field(factory=dict, init=False)
+    _last_report_s: dict[str, float] = attrs.field(factory=dict, init=False)
     _interval_s: float = attrs.field(default=REPORT_INTERVAL_S, init=False)
-    _summarized_s: float = attrs.field(default=0.0, init=False)
-    _turn: int = attrs.field(default=0, init=False)
-    _sent: int = attrs.field(default=0, init=False)
-    _warned: set[str] = attrs.field(factory=set, init=False)
+    _last_summary_s: float = attrs.field(default=0.0, init=False)
+    _summary_count: int = attrs.field(default=0, init=False)
+    _send_count: int = attrs.field(default=0, init=False)
+    _warned_senders: set[str] = attrs.field(factory=set, init=False)
     sent_bytes: collections.Counter[tuple[notices.Kind, bool]] = attrs.field(
         factory=collections.Counter, init=False
     )
@@ -75,18 +77,18 @@
     @property
     def digest_age_s(self) -> float:
         """Age of the newest answer of an aggregator, in seconds; 0 where this entry is one."""
-        newest_s = max(self._answered_s.values(), default=float("-inf"))
-        return 0.0 if self.is_root else trio.current_time() - newest_s
+        newest_s = max(self._last_digest_s.values(), default=float("-inf"))
+        return 0.0 if self.is_active_aggregator else trio.current_time() - newest_s
 
     def report_silent(self, server_id: str) -> None:
         """Tell all others of a silent server at once."""
         # Until they know it, they go on sending to it, and their callers wait in vain.
-        if self._findings.note(server_id, self.listed.own.entry, is_local=True):
-            self._wake()
+        if self._silence_reports.record(server_id, self.entry_list.own.entry, is_local=True):
+            self._request_urgent_send()
 
     async def run(self) -> None:
         """Send and receive until cancelled."""
-        host, _, port = self.listed.own.exchange_address.rpartition(":")
+        host, _, port = self.entry_list.own.exchange_address.rpartition(":")
         with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as socket:
             await socket.bind((host, int(port)))
             async with trio.open_nursery() as nursery:
@@ -100,92 +102,96 @@
         """
         self._refresh_aggregators()
         now_s = trio.current_time()
-        chosen = []
-        for entry in self._superiors():
-            chosen.append(entry)
-            if now_s - self._answered_s.get(entry.entry, float("-inf")) < ANSWER_LIMIT_S:
+        aggregators = []
+        for entry in self._higher_ranked_aggregators():
+            aggregators.append(entry)
+            if now_s - self._last_digest_s.get(entry.entry, float("-inf")) < AGGREGATOR_TIMEOUT_S:
                 break
-        return chosen
+        return aggregators
 
     @property
-    def is_root(self) -> bool:
+    def is_active_aggregator(self) -> bool:
         """Whether this entry sums up its zone: an aggregator, and none before it answers."""
         upstream = self.upstream()
-        own = self.listed.own
-        return own in self._aggregators[own.zone] and not self._answering(upstream)
+        own = self.entry_list.own
+        return own in self._aggregators[own.zone] and not self._answering_aggregator(upstream)
 
-    def _superiors(self) -> list[entries.Entry]:
-        own = self.listed.own
+    def _higher_ranked_aggregators(self) -> list[entries.Entry]:
+        own = self.entry_list.own
         ranked = self._aggregators.get(own.zone, [])
         return ranked[: ranked.index(own)] if own in ranked else ranked
 
-    def _answering(self, chosen: list[entries.Entry]) -> entries.Entry | None:
-        if not chosen:
+    def _answering_aggregator(self, aggregators: list[entries.Entry]) -> entries.Entry | None:
+        if not aggregators:
             return None
-        last = chosen[-1]
-        age_s = trio.current_time() - self._answered_s.get(last.entry, float("-inf"))
-        return last if age_s < ANSWER_LIMIT_S else None
+        candidate = aggregators[-1]
+        age_s = trio.current_time() - self._last_digest_s.get(candidate.entry, float("-inf"))
+        return candidate if age_s < AGGREGATOR_TIMEOUT_S else None
 
     def _refresh_aggregators(self) -> None:
-        if self._known_version != self.listed.version:
-            self._known_version = self.listed.version
-            self._aggregators = hierarchy.aggregators(self.listed.own, self.listed.others())
+        if self._aggregators_version != self.entry_list.version:
+            self._aggregators_version = self.entry_list.version
+            self._aggregators = hierarchy.aggregators(self.entry_list.own, self.entry_list.others())
 
     async def _send(self, socket: trio.socket.SocketType) -> None:
         while True:
             if not self._is_urgent:
-                await self._urgent.wait(self._interval_s * self.rng.uniform(0.9, 1.1))
+                await self._urgent_signal.wait(self._interval_s * self.rng.uniform(0.9, 1.1))
             is_urgent, self._is_urgent = self._is_urgent, False
-            self._sent += 1
+            self._send_count += 1
             upstream = self.upstream()
             if upstream:
-                report = self._notice(notices.Kind.REPORT, self.loads.local(), is_upward=True)
-                await self._send_all(socket, notices.Kind.REPORT, report, upstream)
-            if self.is_root:
+                report = self._encode_notice(
+                    notices.Kind.REPORT, self.loads.local_counts(), is_upward=True
+                )
+                await self._send_to(socket, notices.Kind.REPORT, report, upstream)
+            if self.is_active_aggregator:
                 await self._send_summary(socket, is_urgent)
             if is_urgent:
                 await self._send_digests(socket)
 
     async def _send_summary(self, socket: trio.socket.SocketType, is_urgent: bool) -> None:
         now_s = trio.current_time()
-        if not is_urgent and now_s - self._summarized_s < SUMMARY_INTERVAL_S:
+        if not is_urgent and now_s - self._last_summary_s < SUMMARY_INTERVAL_S:
             return
-        self._summarized_s = now_s
-        self._turn += 1
+        self._last_summary_s = now_s
+        self._summary_count += 1
         receivers = []
         for zone, ranked in self._aggregators.items():
-            if zone != self.listed.own.zone:
-                receivers += ranked if is_urgent else [ranked[self._turn % len(ranked)]]
+            if zone != self.entry_list.own.zone:
+                receivers += ranked if is_urgent else [ranked[self._summary_count % len(ranked)]]
         if receivers:
-            summary = self._notice(notices.Kind.SUMMARY, self.loads.local(), is_upward=True)
-            await self._send_all(socket, notices.Kind.SUMMARY, summary, receivers)
+            summary = self._encode_notice(
+                notices.Kind.SUMMARY, self.loads.local_counts(), is_upward=True
+            )
+            await self._send_to(socket, notices.Kind.SUMMARY, summary, receivers)
 
     async def _send_digests(self, socket: trio.socket.SocketType) -> None:
-        oldest_s = trio.current_time() - VALID_S
-        by_name = {entry.entry: entry for entry in self.listed.others()}
-        for name, reported_s in list(self._reporters_s.items()):
+        oldest_s = trio.current_time() - REPORT_VALIDITY_S
+        by_name = {entry.entry: entry for entry in self.entry_list.others()}
+        for name, reported_s in list(self._last_report_s.items()):
             if reported_s < oldest_s or name not in by_name:
-                del self._reporters_s[name]
+                del self._last_report_s[name]
                 continue
             await self._send_digest(socket, by_name[name])
 
-    async def _send_digest(self, socket: trio.socket.SocketType, to: entries.Entry) -> None:
-        counts = self.loads.without(to.entry)
-        digest = self._notice(notices.Kind.DIGEST, counts, is_upward=False)
-        await self._send_all(socket, notices.Kind.DIGEST, digest, [to])
+    async def _send_digest(self, socket: trio.socket.SocketType, receiver: entries.Entry) -> None:
+        counts = self.loads.counts_without(receiver.entry)
+        digest = self._encode_notice(notices.Kind.DIGEST, counts, is_upward=False)
+        await self._send_to(socket, notices.Kind.DIGEST, digest, [receiver])
 
-    def _notice(self, kind: notices.Kind, counts: dict[str, int], is_upward: bool) -> bytes:
-        own = self.listed.own
-        is_full = self._sent % FULL_CRASHES_EVERY == 0
-        max_age_s = crashes.MEMORY_S if is_full else RECENT_CRASH_S
+    def _encode_notice(self, kind: notices.Kind, counts: dict[str, int], is_upward: bool) -> bytes:
+        own = self.entry_list.own
+        is_full = self._send_count % FULL_CRASHES_EVERY_NOTICES == 0
+        max_age_s = crashes.RETENTION_S if is_full else RECENT_CRASH_MAX_AGE_S
         return notices.encode(
             notices.Notice(
                 kind,
                 own.entry,
                 own.boot,
                 counts,
-                self._findings.local() if is_upward else self._findings.all(),
-                self.crashes.recent(CRASHES_LIMIT, max_age_s),
+                self._silence_reports.local() if is_upward else self._silence_reports.all(),
+                self.crashes.recent_counts(MAX_CRASH_COUNTS, max_age_s),
             )
         )
 
@@ -198,74 +204,80 @@
                 if error.errno not in (errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENETUNREACH):
                     raise
                 continue
-            sender = self._take(data)
+            sender = self._handle_datagram(data)
             if sender is not None:
                 await self._send_digest(socket, sender)
 
-    def _take(self, data: bytes) -> entries.Entry | None:
+    def _handle_datagram(self, data: bytes) -> entries.Entry | None:
         """Take in a datagram; return the sender where it is owed a digest."""
         try:
             notice = notices.decode(data)
         except notices.NoticeError as error:
-            self._warn("unreadable", str(error))
+            self._warn_once("unreadable", str(error))
             return None
-        sender = self.listed.find(notice.entry, notice.boot)
+        sender = self.entry_list.find(notice.entry, notice.boot)
         if sender is None:
-            self._warn(f"{notice.entry}/{notice.boot}", "a notice from an entry that is not listed")
+            self._warn_once(
+                f"{notice.entry}/{notice.boot}", "a notice from an entry that is not listed"
+            )
             return None
-        for mark, count in notice.crashes:
-            self.crashes.merge(mark, count)
-        self._take_findings(notice)
+        for fingerprint, count in notice.crashes:
+            self.crashes.merge(fingerprint, count)
+        self._handle_silence_reports(notice)
         match notice.kind:
             case notices.Kind.REPORT:
-                self._reporters_s[sender.entry] = trio.current_time()
-                self.loads.put(sender.entry, notice.in_flight, VALID_S, is_local=True)
+                self._last_report_s[sender.entry] = trio.current_time()
+                self.loads.update_source(
+                    sender.entry, notice.in_flight, REPORT_VALIDITY_S, is_local=True
+                )
                 return sender
             case notices.Kind.DIGEST:
-                self._take_digest(sender, notice, len(data))
+                self._handle_digest(sender, notice, len(data))
             case notices.Kind.SUMMARY:
-                self._take_summary(sender, notice)
+                self._handle_summary(sender, notice)
         return None
 
-    def _take_digest(self, sender: entries.Entry, notice: notices.Notice, size_bytes: int) -> None:
-        self._answered_s[sender.entry] = trio.current_time()
-        if self._answering(self.upstream()) != sender:
+    def _handle_digest(
+        self, sender: entries.Entry, notice: notices.Notice, size_bytes: int
+    ) -> None:
+        self._last_digest_s[sender.entry] = trio.current_time()
+        if self._answering_aggregator(self.upstream()) != sender:
             return
-        wanted_s = size_bytes / CONTROL_BYTES_PER_S
-        self._interval_s = min(MAX_REPORT_INTERVAL_S, max(REPORT_INTERVAL_S, wanted_s))
-        self.loads.put(UPSTREAM, notice.in_flight, VALID_S)
+        interval_s = size_bytes / MAX_CONTROL_BYTES_PER_S
+        self._interval_s = min(MAX_REPORT_INTERVAL_S, max(REPORT_INTERVAL_S, interval_s))
+        self.loads.update_source(UPSTREAM_SOURCE, notice.in_flight, REPORT_VALIDITY_S)
 
-    def _take_summary(self, sender: entries.Entry, notice: notices.Notice) -> None:
-        if sender.zone == self.listed.own.zone:
+    def _handle_summary(self, sender: entries.Entry, notice: notices.Notice) -> None:
+        if sender.zone == self.entry_list.own.zone:
             return
-        if self.is_root:
-            self.loads.drop(UPSTREAM)
-            self.loads.put(f"zone {sender.zone}", notice.in_flight, VALID_S)
+        if self.is_active_aggregator:
+            self.loads.remove_source(UPSTREAM_SOURCE)
+            self.loads.update_source(f"zone {sender.zone}", notice.in_flight, REPORT_VALIDITY_S)
         else:
             # The digest covers the other zones.
-            self.loads.drop(f"zone {sender.zone}")
+            self.loads.remove_source(f"zone {sender.zone}")
 
-    def _take_findings(self, notice: notices.Notice) -> None:
+    def _handle_silence_reports(self, notice: notices.Notice) -> None:
         is_local = notice.kind is notices.Kind.REPORT
-        for server_id, finder in notice.silent.items():
-            if self._findings.note(server_id, finder, is_local):
-                self.on_silent(server_id, finder)
-                if is_local or self._reporters_s:
-                    self._wake()
+        for server_id, reporter in notice.silent.items():
+            if self._silence_reports.record(server_id, reporter, is_local):
+                self.on_silent(server_id, reporter)
+                if is_local or self._last_report_s:
+                    self._request_urgent_send()
 
-    def _wake(self) -> None:
+    def _request_urgent_send(self) -> None:
         self._is_urgent = True
-        self._urgent.wake()
+        self._urgent_signal.wake()
 
-    def _warn(self, key: str, text: str) -> None:
+    def _warn_once(self, key: str, message: str) -> None:
         # Once a sender: a peer in a loop must not fill the log.
-        if key in self._warned:
+        if key in self._warned_senders:
             return
-        if len(self._warned) < MAX_WARNED:
-            self._warned.add(key)
-            LOGGER.warning("a notice was passed over: %s: %s", key, text)
+        if len(self._warned_senders) < MAX_WARNED_SENDERS:
+            self._warned_senders.add(key)
+            LOGGER.warning("a notice was passed over: %s: %s", key, message)
 
-    async def _send_all(
+    async def _send_to(
         self,
         socket: trio.socket.SocketType,
         kind: notices.Kind,
@@ -278,4 +290,4 @@
                 await socket.sendto(data, (host, int(port)))
             except OSError as error:
                 LOGGER.debug("notice to %s not sent: %s", entry.entry, error)
-            self.sent_bytes[kind, entry.zone != self.listed.own.zone] += len(data)
+            self.sent_bytes[kind, entry.zone != self.entry_list.own.zone] += len(data)
--- a/toucanhold/gateway/gateway.py
+++ b/toucanhold/gateway/gateway.py
@@ -23,12 +23,12 @@
 
 # A request that waits gets its answer late, for a part of its worth; past this part of its time
 # the caller is better told when to come back.
-PATIENCE_PART = 0.3
+MAX_WAIT_FRACTION = 0.3
 # What may be left over of a request's time for another server to be worth while.
-LEAST_REMAINING_S = 0.05
-COME_BACK_S = 1.0
+MIN_REMAINING_S = 0.05
+RETRY_AFTER_S = 1.0
 # Retries of a request that crashes servers do harm until the servers' work has moved on.
-CRASHING_COME_BACK_S = 30.0
+CRASHING_RETRY_AFTER_S = 30.0
 
 LOGGER = logging.getLogger(__name__)
 
@@ -62,9 +62,9 @@
             routes = self.routes.table
             if routes is None:
                 reason = calls.RefusalReason.NO_CONFIGURATION
-                raise calls.CallError(reason, retry_after_s=COME_BACK_S)
+                raise calls.CallError(reason, retry_after_s=RETRY_AFTER_S)
             route, workspace = self._admit(routes, call)
-            return await self._serve_in_time(routes, route, workspace, call, reply)
+            return await self._serve_until_deadline(routes, route, workspace, call, reply)
         finally:
             self.in_flight -= 1
 
@@ -83,7 +83,7 @@
                 raise calls.CallError(calls.RefusalReason.UNKNOWN_KEY)
         return route, workspace
 
-    async def _serve_in_time(
+    async def _serve_until_deadline(
         self,
         routes: table.RouteTable,
         route: table.Route,
@@ -92,122 +92,138 @@
         reply: calls.Reply,
     ) -> int:
         service = routes.services[route.draw_service(self.rng)]
-        self.retries.note_request(service.name)
+        self.retries.record_request(service.name)
         deadline_s = min(call.deadline_s, call.arrived_s + route.timeout_s)
-        run = attempt.Run(call, route, service, workspace, deadline_s, reply)
+        state = attempt.CallState(call, route, service, workspace, deadline_s, reply)
         status = 0
         with trio.move_on_at(deadline_s) as scope:
-            status = await self._try_servers(run)
+            status = await self._run_attempts(state)
         if scope.cancelled_caught:
-            if run.has_replied:
+            if state.has_response_started:
                 raise calls.ResponseLostError("the time for the request is over")
             raise calls.CallError(
-                calls.RefusalReason.DEADLINE_EXCEEDED, run.may_have_run, retry_after_s=COME_BACK_S
+                calls.RefusalReason.DEADLINE_EXCEEDED,
+                state.may_have_run,
+                retry_after_s=RETRY_AFTER_S,
             )
         return status
 
-    async def _try_servers(self, run: attempt.Run) -> int:
-        mark = crashes.fingerprint(run.call, run.workspace_name)
-        avoid: set[str] = set()
+    async def _run_attempts(self, state: attempt.CallState) -> int:
+        fingerprint = crashes.request_fingerprint(state.call, state.workspace_name)
+        excluded: set[str] = set()
         while True:
-            if self.crashes.is_dangerous(mark):
+            if self.crashes.is_blocked(fingerprint):
                 reason = calls.RefusalReason.CRASHES_SERVERS
-                self._give_up(run, reason, CRASHING_COME_BACK_S)
+                self._raise_failure(state, reason, CRASHING_RETRY_AFTER_S)
             try:
-                status = await self._try_one(run, avoid)
+                status = await self._run_attempt(state, excluded)
             except calls.NotRunError as error:
-                self._note_not_run(run, avoid, error)
-                self._check_again(run, error)
+                self._handle_not_run(state, excluded, error)
+                self._check_retry(state, error)
             except calls.ResponseLostError as error:
-                avoid.add(run.server_id)
-                run.note_lost()
-                self.health.note(run.server_id, failed=True)
+                excluded.add(state.server_id)
+                state.record_lost_response()
+                self.health.record_outcome(state.server_id, is_failure=True)
                 if error.is_connection_lost:
-                    self.crashes.note(mark)
-                self._check_again(run, error)
+                    self.crashes.record_crash(fingerprint)
+                self._check_retry(state, error)
             else:
-                self.crashes.clear(mark)
+                self.crashes.clear(fingerprint)
                 return status
 
-    async def _try_one(self, run: attempt.Run, avoid: set[str]) -> int:
-        route = run.route
+    async def _run_attempt(self, state: attempt.CallState, excluded: set[str]) -> int:
+        route = state.route
         rank = route.rank
-        if run.workspace is not None and run.workspace.rank is not None:
-            rank = run.workspace.rank
-        patience_s = PATIENCE_PART * (run.deadline_s - trio.current_time())
-        timely_until_s = run.timely_until_s
-        if run.has_replied:
+        if state.workspace is not None and state.workspace.rank is not None:
+            rank = state.workspace.rank
+        max_wait_s = MAX_WAIT_FRACTION * (state.deadline_s - trio.current_time())
+        latest_start_s = state.latest_start_s
+        if state.has_response_started:
             # The caller gives a stream up after a pause of two seconds.
-            patience_s = min(patience_s, 1.0)
-            timely_until_s = trio.current_time() + attempt.WAITING_PART * route.gap_objective_s
+            max_wait_s = min(max_wait_s, 1.0)
+            latest_start_s = (
+                trio.current_time() + attempt.QUEUE_TIME_FRACTION * route.gap_objective_s
+            )
         try:
-            placing = self.admission.place(
-                run.service, run.call.model, rank, patience_s, timely_until_s, frozenset(avoid)
+            placement = self.admission.place(
+                state.service,
+                state.call.model,
+                rank,
+                max_wait_s,
+                latest_start_s,
+                frozenset(excluded),
             )
-            async with placing as server:
-                may_move = functools.partial(self._may_move, run, avoid | {server.server_id})
-                return await attempt.run_on(
-                    run, server, self.servers, self.silence, self.health, may_move
+            async with placement as server:
+                may_fail_over = functools.partial(
+                    self._may_fail_over, state, excluded | {server.server_id}
+                )
+                return await attempt.run_attempt(
+                    state, server, self.servers, self.silence, self.health, may_fail_over
                 )
         except calls.CallError as error:
-            if run.has_replied:
+            if state.has_response_started:
                 raise calls.ResponseLostError(str(error)) from error
-            if run.may_have_run:
+            if state.may_have_run:
                 raise calls.CallError(calls.RefusalReason.RESPONSE_LOST, True) from error
             raise
 
-    def _may_move(self, run: attempt.Run, avoid: set[str]) -> bool:
-        if run.runs >= run.route.attempts + run.fruitless or not self.retries.is_left(
-            run.service.name
+    def _may_fail_over(self, state: attempt.CallState, excluded: set[str]) -> bool:
+        if (
+            state.runs >= state.route.attempts + state.extra_attempts
+            or not self.retries.has_remaining(state.service.name)
         ):
             return False
-        return self.admission.has_room(run.service, run.call.model, avoid)
+        return self.admission.has_capacity(state.service, state.call.model, excluded)
 
-    def _note_not_run(self, run: attempt.Run, avoid: set[str], error: calls.NotRunError) -> None:
-        avoid.add(run.server_id)
+    def _handle_not_run(
+        self, state: attempt.CallState, excluded: set[str], error: calls.NotRunError
+    ) -> None:
+        excluded.add(state.server_id)
         if error.is_gone:
-            self.health.avoid(run.server_id, str(error))
-            self.silence.on_silent(run.server_id)
-        if error.faulty_member:
+            self.health.avoid(state.server_id, str(error))
+            self.silence.on_silent(state.server_id)
+        if error.at_fault:
             # The head names the member that keeps it from working: it has broken for good.
-            self.health.avoid(run.server_id, f"{error.faulty_member} is at fault")
-            self.silence.on_silent(run.server_id)
+            self.health.avoid(state.server_id, f"{error.at_fault} is at fault")
+            self.silence.on_silent(state.server_id)
 
-    def _check_again(self, run: attempt.Run, error: calls.ExchangeError) -> None:
+    def _check_retry(self, state: attempt.CallState, error: calls.ExchangeError) -> None:
         """Return if the call may go to another server.
 
         :raises calls.CallError: when it may not
         """
-        reason = self._why_not_again(run, error)
+        reason = self._retry_denial_reason(state, error)
         events.log(
             LOGGER,
             events.Event.CALL_RESENT if not reason else events.Event.RETRY_DENIED,
-            request_id=run.call.call_id,
-            server=run.server_id,
+            request_id=state.call.call_id,
+            server=state.server_id,
             failure=str(error),
-            runs=run.runs,
-            after_event=run.last_event_id,
+            runs=state.runs,
+            after_event=state.last_event_id,
             reason=reason or None,
         )
         if reason:
-            self._give_up(run, calls.RefusalReason.RESPONSE_LOST, COME_BACK_S)
+            self._raise_failure(state, calls.RefusalReason.RESPONSE_LOST, RETRY_AFTER_S)
 
-    def _why_not_again(self, run: attempt.Run, error: calls.ExchangeError) -> str:
+    def _retry_denial_reason(self, state: attempt.CallState, error: calls.ExchangeError) -> str:
         if isinstance(error, calls.ResponseLostError):
-            if not run.route.may_repeat:
+            if not state.route.may_repeat:
                 return "it may have run, and may run only once"
-            if run.runs >= run.route.attempts + run.fruitless:
+            if state.runs >= state.route.attempts + state.extra_attempts:
                 return "it has been sent to as many servers as its route allows"
-        if run.deadline_s - trio.current_time() < LEAST_REMAINING_S:
+        if state.deadline_s - trio.current_time() < MIN_REMAINING_S:
             return "its time is over"
-        if not self.retries.take(run.service.name):
+        if not self.retries.try_acquire(state.service.name):
             return "the budget of retries is used up"
         return ""
 
-    def _give_up(self, run: attempt.Run, reason: calls.RefusalReason, retry_after_s: float) -> None:
-        if run.has_replied:
+    def _raise_failure(
+        self, state: attempt.CallState, reason: calls.RefusalReason, retry_after_s: float
+    ) -> None:
+        if state.has_response_started:
             raise calls.ResponseLostError(reason.value)
-        if run.may_have_run:
+        if state.may_have_run:
             raise calls.CallError(calls.RefusalReason.RESPONSE_LOST, may_have_run=True)
         if reason is calls.RefusalReason.RESPONSE_LOST:
             reason = calls.RefusalReason.NO_SERVER
--- a/toucanhold/gateway/hierarchy.py
+++ b/toucanhold/gateway/hierarchy.py
@@ -13,9 +13,9 @@
 # the two-year size, 36 entries a zone, there are two.
 MAX_FOLLOWERS_PER_ENTRY = 16
 # Entries of other zones to turn to when the own zone's are lost: zones fail by themselves.
-OTHER_ZONES = 3
+MAX_OTHER_ZONE_SOURCES = 3
 # Entries of a zone that may sum up: the second one takes over when the first does not answer.
-AGGREGATORS = 2
+AGGREGATORS_PER_ZONE = 2
 
 
 @attrs.define(eq=False)
@@ -25,17 +25,17 @@
     :ivar planner: returns the name of the entry that plans
     """
 
-    listed: entries.EntryList
+    entry_list: entries.EntryList
     planner: collections.abc.Callable[[], str]
-    _known: tuple[int, str] = attrs.field(default=(-1, ""), init=False)
+    _sources_key: tuple[int, str] = attrs.field(default=(-1, ""), init=False)
     _sources: list[str] = attrs.field(factory=list, init=False)
 
     def sources(self) -> list[str]:
         """See :func:`sources`."""
-        known = self.listed.version, self.planner()
-        if known != self._known:
-            self._known = known
-            self._sources = sources(self.listed.own, self.listed.others(), known[1])
+        key = self.entry_list.version, self.planner()
+        if key != self._sources_key:
+            self._sources_key = key
+            self._sources = sources(self.entry_list.own, self.entry_list.others(), key[1])
         return self._sources
 
 
@@ -53,16 +53,16 @@
     """
     zones = by_zone([own, *others], planner)
     zone = zones[own.zone]
-    place = zone.index(own)
-    if not place:
+    rank = zone.index(own)
+    if not rank:
         # One watch for all zones: each return of a watch is a call that is paid for.
-        return [] if own.entry == planner else _planners_address(zones, planner)
-    chosen = [zone[(place - 1) // MAX_FOLLOWERS_PER_ENTRY]]
+        return [] if own.entry == planner else _planner_address(zones, planner)
+    chosen = [zone[(rank - 1) // MAX_FOLLOWERS_PER_ENTRY]]
     if zone[0] not in chosen:
         chosen.append(zone[0])
     names = sorted(zones)
-    begin = names.index(own.zone) + 1
-    for name in (names[begin:] + names[: begin - 1])[:OTHER_ZONES]:
+    start = names.index(own.zone) + 1
+    for name in (names[start:] + names[: start - 1])[:MAX_OTHER_ZONE_SOURCES]:
         chosen.append(zones[name][0])
     return [entry.exchange_address for entry in chosen]
 
@@ -72,25 +72,25 @@
 ) -> dict[str, list[entries.Entry]]:
     """Return the entries that sum up, by availability zone, the first choice first."""
     zones = by_zone([own, *others])
-    return {zone: members[:AGGREGATORS] for zone, members in zones.items()}
+    return {zone: members[:AGGREGATORS_PER_ZONE] for zone, members in zones.items()}
 
 
 def by_zone(
-    known: collections.abc.Iterable[entries.Entry], planner: str = ""
+    all_entries: collections.abc.Iterable[entries.Entry], planner: str = ""
 ) -> dict[str, list[entries.Entry]]:
     """Return the entries of each availability zone, by rank."""
     zones: dict[str, list[entries.Entry]] = {}
-    for entry in sorted(known, key=lambda each: _rank(each, planner)):
+    for entry in sorted(all_entries, key=lambda entry: _rank_key(entry, planner)):
         zones.setdefault(entry.zone, []).append(entry)
     return zones
 
 
-def _planners_address(zones: dict[str, list[entries.Entry]], planner: str) -> list[str]:
-    firsts = (members[0] for members in zones.values())
-    return [entry.exchange_address for entry in firsts if entry.entry == planner]
+def _planner_address(zones: dict[str, list[entries.Entry]], planner: str) -> list[str]:
+    first_entries = (members[0] for members in zones.values())
+    return [entry.exchange_address for entry in first_entries if entry.entry == planner]
 
 
-def _rank(entry: entries.Entry, planner: str) -> tuple:
+def _rank_key(entry: entries.Entry, planner: str) -> tuple:
     # Large machines first: whoever passes changes on spends processor time and bandwidth on it.
-    spread = hashlib.blake2b(f"{entry.entry}/{entry.boot}".encode(), digest_size=8).digest()
-    return entry.entry != planner, -entry.cores, spread
+    tie_breaker = hashlib.blake2b(f"{entry.entry}/{entry.boot}".encode(), digest_size=8).digest()
+    return entry.entry != planner, -entry.cores, tie_breaker
--- a/toucanhold/gateway/load.py
+++ b/toucanhold/gateway/load.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class _Source:
+class _SourceCounts:
     counts: Counts
     valid_until_s: float
     is_local: bool
@@ -29,8 +29,8 @@
     """
 
     own: collections.Counter[str] = attrs.field(factory=collections.Counter, init=False)
-    _sources: dict[str, _Source] = attrs.field(factory=dict, init=False)
-    _others: collections.Counter[str] = attrs.field(factory=collections.Counter, init=False)
+    _sources: dict[str, _SourceCounts] = attrs.field(factory=dict, init=False)
+    _other_counts: collections.Counter[str] = attrs.field(factory=collections.Counter, init=False)
     _next_expiry_s: float = attrs.field(default=math.inf, init=False)
 
     def add(self, server_id: str) -> None:
@@ -41,31 +41,33 @@
         """Count a request that has ended."""
         _subtract(self.own, {server_id: 1})
 
-    def put(self, source: str, counts: Counts, valid_s: float, is_local: bool = False) -> None:
+    def update_source(
+        self, source: str, counts: Counts, valid_s: float, is_local: bool = False
+    ) -> None:
         """Replace what one source reported.
 
         :param source: an entry, or an availability zone whose entries were summed
         :param valid_s: time after which it says nothing any more
         :param is_local: whether the source reports to this entry and to no other
         """
-        self.drop(source)
+        self.remove_source(source)
         valid_until_s = trio.current_time() + valid_s
-        self._sources[source] = _Source(counts, valid_until_s, is_local)
-        self._others.update(counts)
+        self._sources[source] = _SourceCounts(counts, valid_until_s, is_local)
+        self._other_counts.update(counts)
         self._next_expiry_s = min(self._next_expiry_s, valid_until_s)
 
-    def drop(self, source: str) -> None:
+    def remove_source(self, source: str) -> None:
         """Forget what one source reported."""
-        old = self._sources.pop(source, None)
-        if old is not None:
-            _subtract(self._others, old.counts)
+        previous = self._sources.pop(source, None)
+        if previous is not None:
+            _subtract(self._other_counts, previous.counts)
 
     def estimate(self, server_id: str) -> int:
         """Return the requests that all entries have in flight there."""
         self._expire()
-        return self.own.get(server_id, 0) + self._others.get(server_id, 0)
+        return self.own.get(server_id, 0) + self._other_counts.get(server_id, 0)
 
-    def local(self) -> dict[str, int]:
+    def local_counts(self) -> dict[str, int]:
         """Return this entry's requests and those of its local sources."""
         self._expire()
         total = collections.Counter(self.own)
@@ -74,10 +76,10 @@
                 total.update(source.counts)
         return dict(total)
 
-    def without(self, source: str) -> dict[str, int]:
+    def counts_without(self, source: str) -> dict[str, int]:
         """Return the requests of all entries but one source's."""
         self._expire()
-        total = self._others + self.own
+        total = self._other_counts + self.own
         if source in self._sources:
             _subtract(total, self._sources[source].counts)
         return dict(total)
@@ -88,15 +90,15 @@
             return
         for name, source in list(self._sources.items()):
             if source.valid_until_s <= now_s:
-                self.drop(name)
-        left = (source.valid_until_s for source in self._sources.values())
-        self._next_expiry_s = min(left, default=math.inf)
+                self.remove_source(name)
+        remaining = (source.valid_until_s for source in self._sources.values())
+        self._next_expiry_s = min(remaining, default=math.inf)
 
 
 def _subtract(total: collections.Counter[str], counts: Counts) -> None:
     for server_id, count in counts.items():
-        left = total[server_id] - count
-        if left > 0:
-            total[server_id] = left
+        remaining = total[server_id] - count
+        if remaining > 0:
+            total[server_id] = remaining
         else:
             del total[server_id]
--- a/toucanhold/gateway/notices.py
+++ b/toucanhold/gateway/notices.py
@@ -11,7 +11,7 @@
 
 DATAGRAM_LIMIT_BYTES = 32 * 1024
 # Keeps a datagram under its limit: a server's name and count take some 20 bytes.
-MAX_COUNTS = 1200
+MAX_SERVER_COUNTS = 1200
 
 
 class NoticeError(Exception):
@@ -51,8 +51,8 @@
 
 def encode(notice: Notice) -> bytes:
     """Return a datagram; of very many counts the largest."""
-    if len(notice.in_flight) > MAX_COUNTS:
-        largest = sorted(notice.in_flight.items(), key=lambda each: -each[1])[:MAX_COUNTS]
+    if len(notice.in_flight) > MAX_SERVER_COUNTS:
+        largest = sorted(notice.in_flight.items(), key=lambda item: -item[1])[:MAX_SERVER_COUNTS]
         notice = attrs.evolve(notice, in_flight=dict(largest))
     return msgpack.packb(codec.CONVERTER.unstructure(notice))
 
--- a/toucanhold/gateway/sharing.py
+++ b/toucanhold/gateway/sharing.py
@@ -13,9 +13,9 @@
 # choose servers with better knowledge. So the weight grows faster than the size.
 WEIGHT_EXPONENT = 2
 # However few large entries there are, callers get so many addresses to turn to.
-LEAST_ADVERTISED = 3
+MIN_ADVERTISED = 3
 # The small entries that are advertised change this often; callers leave those that no longer are.
-SLOT_S = 10.0
+ROTATION_PERIOD_S = 10.0
 
 
 def weight(entry: entries.Entry) -> float:
@@ -40,17 +40,17 @@
     :param total: units that all entries may use
     :param key: what the bound is on
     """
-    known = [own, *others]
-    total_weight = sum(map(weight, known))
-    parts = {entry.entry: int(total * weight(entry) / total_weight) for entry in known}
-    left = int(total) - sum(parts.values())
-    by_score = sorted(known, key=lambda entry: _score(entry, key))
-    for entry in (by_score * (left // len(known) + 1))[:left]:
-        parts[entry.entry] += 1
-    return parts[own.entry]
+    all_entries = [own, *others]
+    total_weight = sum(map(weight, all_entries))
+    units = {entry.entry: int(total * weight(entry) / total_weight) for entry in all_entries}
+    remaining = int(total) - sum(units.values())
+    by_score = sorted(all_entries, key=lambda entry: _rendezvous_score(entry, key))
+    for entry in (by_score * (remaining // len(all_entries) + 1))[:remaining]:
+        units[entry.entry] += 1
+    return units[own.entry]
 
 
-def _score(entry: entries.Entry, key: str) -> float:
+def _rendezvous_score(entry: entries.Entry, key: str) -> float:
     digest = hashlib.blake2b(f"{entry.entry}/{key}".encode(), digest_size=8).digest()
     draw = (int.from_bytes(digest) + 1) / (2**64 + 1)
     return -math.log(draw) / weight(entry)
@@ -65,9 +65,10 @@
     if not own:
         return list(serving)
     others = sorted(
-        (entry for entry in serving if entry.zone != zone), key=lambda each: _score(each, zone)
+        (entry for entry in serving if entry.zone != zone),
+        key=lambda entry: _rendezvous_score(entry, zone),
     )
-    return own + others[: max(0, LEAST_ADVERTISED - len(own))]
+    return own + others[: max(0, MIN_ADVERTISED - len(own))]
 
 
 def advertised(
@@ -80,15 +81,19 @@
     if not serving:
         return []
     largest = max(map(weight, serving))
-    slot = int(now_s // SLOT_S)
-    by_draw = sorted(serving, key=lambda entry: _draw(entry, caller_zone, slot) / weight(entry))
+    slot = int(now_s // ROTATION_PERIOD_S)
+    by_draw = sorted(
+        serving, key=lambda entry: _rotation_draw(entry, caller_zone, slot) / weight(entry)
+    )
     chosen = [
-        entry for entry in by_draw if _draw(entry, caller_zone, slot) < weight(entry) / largest
+        entry
+        for entry in by_draw
+        if _rotation_draw(entry, caller_zone, slot) < weight(entry) / largest
     ]
-    return chosen if len(chosen) >= LEAST_ADVERTISED else by_draw[:LEAST_ADVERTISED]
+    return chosen if len(chosen) >= MIN_ADVERTISED else by_draw[:MIN_ADVERTISED]
 
 
-def _draw(entry: entries.Entry, caller_zone: str, slot: int) -> float:
+def _rotation_draw(entry: entries.Entry, caller_zone: str, slot: int) -> float:
     """Return a number from 0 to 1 that stays the same for a while."""
     text = f"{entry.entry}/{caller_zone}/{slot}".encode()
     digest = hashlib.blake2b(text, digest_size=4).digest()
--- a/toucanhold/platform/servers.py
+++ b/toucanhold/platform/servers.py
@@ -178,7 +178,7 @@
         )
     if headers.find(response.headers, headers.NOT_RUN):
         raise calls.NotRunError(
-            f"{server.server_id}: refused with status {response.status}", faulty_member=at_fault
+            f"{server.server_id}: refused with status {response.status}", at_fault=at_fault
         )
 
 
