--- a/toucanhold/gateway/__init__.py
+++ b/toucanhold/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Serving requests of routes on backend servers that register themselves."""
+"""Routes callers' requests to backend servers that register themselves."""
--- a/toucanhold/gateway/admission.py
+++ b/toucanhold/gateway/admission.py
@@ -1,9 +1,9 @@
-"""Waiting for a backend server with room.
+"""Admits requests to backend servers and queues those for which no server has capacity.
 
-The most urgent go first; among equals those whose answers can still come in time, then the others.
-When there is more to do than servers can, a queue by arrival makes every answer late: each waits
-for those before it until it is late as well. This way the servers' time goes to answers that are
-worth it, and what is late already has what is left over.
+The queue is ordered by rank, then by whether the response can still meet its objective, then by
+arrival. Under overload, a queue in arrival order makes every response late, because each request
+waits for those before it until it is late as well. This order spends the servers' time on responses
+that can still be on time; late requests get the remaining capacity.
 """
 
 from __future__ import annotations
@@ -19,15 +19,23 @@
 from toucanhold.registry import servers
 from toucanhold.routes import table
 
-# Room also appears without an event of this entry: others finish, groups form, servers warm up.
+# Capacity also appears without an event in this entry: requests of other entries finish, groups
+# form, servers warm up.
 DISPATCH_INTERVAL_S = 0.02
-# A caller told to come back finds room: groups form again within about a second of a loss.
+# Groups form again within about a second of a loss, so a retry after this delay finds capacity.
 RETRY_AFTER_S = 0.8
 RETRY_JITTER_S = 0.4
 
 
 @attrs.define(eq=False, order=False)
 class _Waiter:
+    """A queued request.
+
+    :ivar latest_start_s: trio clock time after which the response misses its objective
+    :ivar excluded: IDs of servers to use only if there are no others
+    :ivar placed: set when ``server`` has been assigned
+    """
+
     service: table.Service
     model: str
     latest_start_s: float
@@ -38,7 +46,10 @@
 
 @attrs.define(eq=False)
 class Admission:
-    """Places requests; those that find no room wait by rank, then in their order."""
+    """Places requests on servers and queues those for which no server has capacity.
+
+    :ivar targets: selects servers and tracks their load
+    """
 
     targets: targets.ServerSelector
     _queue: list[tuple[int, int, _Waiter]] = attrs.field(factory=list, init=False)
@@ -49,13 +60,13 @@
 
     @property
     def queue_length(self) -> int:
-        """Requests that wait now."""
+        """Number of requests that are queued."""
         return len(self._queue)
 
     def has_capacity(
         self, service: table.Service, model: str, excluded: collections.abc.Set[str]
     ) -> bool:
-        """Tell whether a server other than those to avoid has room now."""
+        """Return whether a server that is not excluded has capacity now."""
         candidates = [
             server
             for server in self.targets.find_candidates(service, model)
@@ -73,11 +84,14 @@
         latest_start_s: float,
         excluded: collections.abc.Set[str] = frozenset(),
     ) -> collections.abc.AsyncIterator[servers.Server]:
-        """Hold room on a server while the context is open.
-
-        :param max_wait_s: longest wait
-        :param latest_start_s: time of the run's clock after which its answer is late
-        :raises calls.CallError: when there is no room in time, or cannot be
+        """Reserve a slot on a server while the context is open.
+
+        :param rank: priority; 0 is most urgent
+        :param max_wait_s: maximum time in the queue
+        :param latest_start_s: trio clock time after which the response misses its objective
+        :param excluded: IDs of servers to use only if there are no others
+        :raises calls.CallError: if no server has capacity within ``max_wait_s`` (NO_CAPACITY), or
+            no server serves the model and no group of it is forming (NO_SERVER)
         """
         server = self._try_place_immediately(service, model, excluded)
         if server is None:
@@ -91,7 +105,7 @@
             self.dispatch()
 
     async def run(self) -> None:
-        """Look for room at an interval, until cancelled."""
+        """Dispatch queued requests every ``DISPATCH_INTERVAL_S`` until cancelled."""
         while True:
             if not self._queue:
                 await self._queue_filled.wait()
@@ -100,10 +114,10 @@
             self.dispatch()
 
     def dispatch(self) -> None:
-        """Give room to those that wait, in their order."""
+        """Assign servers with capacity to queued requests in queue order."""
         now_s = trio.current_time()
         queued, self._queue = self._queue, []
-        # Stable: who came first goes first among equals.
+        # By rank, then requests that can still be on time, then by arrival.
         queued.sort(key=lambda item: (item[0], item[-1].latest_start_s < now_s, item[1]))
         full_keys: set[tuple[str, str]] = set()
         for item in queued:
--- a/toucanhold/gateway/attempt.py
+++ b/toucanhold/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One call at one backend server."""
+"""Runs one attempt of a call on one backend server."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from toucanhold.routes import table
 from toucanhold.routing import sse
 
-# A body that is passed on whole is held in memory; larger ones are no answers of these services.
+# Responses that are not streamed are buffered in memory; these services send no larger ones.
 MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 FIRST_SERVER_ERROR_STATUS = 500
 
-# The part of an objective that a request may wait for a server: the first event of a stream takes
-# about half of it under load (90 to 180 ms of 200 to 300), a lookup a third.
+# Fraction of a route's objective that a request may spend in the queue. Under load, the first event
+# of a stream takes about half of the objective (90 to 180 ms of 200 to 300 ms), a lookup a third.
 QUEUE_TIME_FRACTION = 0.4
 
 LOGGER = logging.getLogger(__name__)
@@ -27,15 +27,17 @@
 
 @attrs.define(eq=False)
 class CallState:
-    """A call's way through its servers.
-
-    :ivar deadline_s: when the caller or the route has waited long enough
-    :ivar server_id: the server that has it, or had it last
-    :ivar runs: servers that may have begun to run it
-    :ivar extra_attempts: runs beyond the route's attempts that a begun stream may have, because a
-        server ended before it sent anything of it; one at most
-    :ivar has_response_started: whether the caller has got the beginning of an answer
-    :ivar last_event_id: the last event that the caller has got
+    """State of a call across its attempts on several servers.
+
+    :ivar workspace: owner of the caller's key; None on public routes
+    :ivar deadline_s: trio clock time at which the caller's or the route's timeout expires
+    :ivar reply: receives the response
+    :ivar server_id: server of the current or last attempt
+    :ivar runs: number of attempts in which a server may have started to run the call
+    :ivar extra_attempts: attempts allowed beyond the route's limit, at most one; granted to a
+        started stream if a server failed before it sent any event of it
+    :ivar has_response_started: whether the start of a response was sent to the caller
+    :ivar last_event_id: ID of the last event that the caller has received; None before the first
     """
 
     call: calls.Call
@@ -52,15 +54,15 @@
     _event_id_before_attempt: int | None = None
 
     def __attrs_post_init__(self) -> None:
-        """Begin where the caller wants a stream to go on."""
+        """Resume the stream after the event that the caller received last."""
         self.last_event_id = self.call.last_event_id
 
     @property
     def latest_start_s(self) -> float:
-        """Time of the run's clock until which a server must have the call, to answer in time.
+        """Trio clock time by which an attempt must start for a response within the objective.
 
-        A caller that was told to come back names what is left of its time; its answer can only
-        come late by then.
+        A caller that retries after a refusal sends its remaining time. The time that it has
+        already waited counts towards the objective, so the response may be late from the start.
         """
         waited_before_s = self.route.timeout_s - (self.call.deadline_s - self.call.arrived_s)
         allowed_s = QUEUE_TIME_FRACTION * self.route.objective_s - max(0.0, waited_before_s)
@@ -68,7 +70,7 @@
 
     @property
     def longest_pause_s(self) -> float:
-        """The longest pause between events of a sound server; 0 where nothing tells."""
+        """Longest pause in seconds between events of a healthy server; 0 if unknown."""
         engine = self.service.engine
         if engine is None:
             return 0.0
@@ -76,25 +78,25 @@
         return engine.longest_pause_s(model) if model is not None else 0.0
 
     def record_lost_response(self) -> None:
-        """Take note that the last server's answer was lost."""
+        """Record that the last attempt's response was lost."""
         nothing_came = self.last_event_id == self._event_id_before_attempt
         if self.has_response_started and nothing_came:
             self.extra_attempts = 1
 
     def record_attempt(self, server_id: str) -> None:
-        """Take note that a server gets the call."""
+        """Record that the call is sent to a server."""
         self.server_id = server_id
         self.runs += 1
         self._event_id_before_attempt = self.last_event_id
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any server may have begun to run it."""
+        """Whether a server may have started to run the call."""
         return self.runs > 0
 
     @property
     def workspace_name(self) -> str:
-        """Who holds the caller's key; empty for public routes."""
+        """Name of the workspace that owns the caller's key; empty on public routes."""
         return self.workspace.name if self.workspace is not None else ""
 
 
@@ -106,11 +108,13 @@
     server_health: health.Health,
     may_fail_over: collections.abc.Callable[[], bool],
 ) -> int:
-    """Send a call to one server and pass its answer on.
+    """Send a call to one server and forward the response to the caller.
 
-    :param may_fail_over: tells whether another server could go on with the call
-    :return: the status of the answer
-    :raises calls.ExchangeError: when another server may be tried, if the call allows that
+    :param may_fail_over: returns whether another server could take over the call
+    :return: HTTP status of the response
+    :raises calls.NotRunError: if the server did not run the call
+    :raises calls.ResponseLostError: if the server may have run the call, but the caller has no
+        complete response; the call may be retried on another server if its route allows that
     """
     forwarded = calls.ForwardedCall(
         state.call,
@@ -158,7 +162,7 @@
         if state.route.may_repeat:
             silence_detector.remove(stream)
     if stream.scope.cancelled_caught:
-        raise calls.ResponseLostError("the server has fallen silent")
+        raise calls.ResponseLostError("the server sent no events within the silence limit")
     return status
 
 
@@ -176,7 +180,9 @@
             await _start_response(state, response)
             await state.reply.send(bytes(new_events))
     if splitter.has_rest:
-        raise calls.ResponseLostError("the stream ended within an event", is_connection_lost=True)
+        raise calls.ResponseLostError(
+            "the stream ended in the middle of an event", is_connection_lost=True
+        )
     await _start_response(state, response)
     await state.reply.finish()
     return response.status
@@ -189,7 +195,12 @@
 
 
 def _record_event_if_new(state: CallState, event: sse.ServerSentEvent) -> bool:
-    """Tell whether the caller lacks an event, and take note of it."""
+    """Record an event's ID and return whether the caller has not received the event yet.
+
+    Events without a numeric ID are always forwarded.
+
+    :raises calls.ResponseLostError: if events are missing before this one
+    """
     if not event.event_id.isdigit():
         return True
     event_number = int(event.event_id)
@@ -197,7 +208,9 @@
     if last_number is not None and event_number <= last_number:
         return False
     if last_number is not None and event_number > last_number + 1:
-        raise calls.ResponseLostError(f"event {event_number} follows event {last_number}")
+        raise calls.ResponseLostError(
+            f"gap in the stream: event {event_number} follows event {last_number}"
+        )
     state.last_event_id = event_number
     return True
 
@@ -212,14 +225,16 @@
     async for chunk in response.chunks:
         body += chunk
         if len(body) > MAX_RESPONSE_BYTES:
-            raise calls.ResponseLostError("the answer is larger than allowed")
+            raise calls.ResponseLostError(f"response body exceeds {MAX_RESPONSE_BYTES} bytes")
     is_failure = response.status >= FIRST_SERVER_ERROR_STATUS
     if is_failure and state.route.may_repeat and may_fail_over():
-        # Servers fail a part of what they could answer; another one answers it in time.
-        raise calls.ResponseLostError(f"the server answered with status {response.status}")
+        # Servers fail some requests that they could serve; another server responds in time.
+        raise calls.ResponseLostError(f"the server responded with status {response.status}")
     server_health.record_outcome(state.server_id, is_failure)
     if state.has_response_started:
-        raise calls.ResponseLostError(f"the stream was not resumed: status {response.status}")
+        raise calls.ResponseLostError(
+            f"the stream was not resumed: expected status 200, got {response.status}"
+        )
     state.has_response_started = True
     await state.reply.start(response.status, response.headers, len(body))
     await state.reply.send(bytes(body))
--- a/toucanhold/gateway/budget.py
+++ b/toucanhold/gateway/budget.py
@@ -1,4 +1,4 @@
-"""Bounds that all entries keep together, of which each uses its part."""
+"""Limits that all entries share; each entry enforces its own share of them."""
 
 from __future__ import annotations
 
@@ -12,14 +12,17 @@
 from toucanhold.registry import servers
 
 BUCKETS_PER_WINDOW = 10
-# The part of the bound that entries use: their counts begin and end at different moments, and
-# entries that come and go briefly change the parts.
+# Fraction of a limit that entries use. The rest is headroom, because the entries' windows are not
+# aligned and shares are briefly inconsistent while entries join or leave.
 USABLE_FRACTION = 0.7
 
 
 @attrs.define
 class _SlidingWindow:
-    """Counts by moment over a sliding window."""
+    """Number of events in a sliding window, counted in buckets.
+
+    :ivar bucket_s: length of a bucket; a window has ``BUCKETS_PER_WINDOW``
+    """
 
     bucket_s: float
     _counts: collections.deque[list[float]] = attrs.field(factory=collections.deque)
@@ -39,7 +42,12 @@
 
 @attrs.frozen
 class RetryBound:
-    """Repeats that a service bears: a share of its requests, and some more."""
+    """Retries that a service tolerates over all entries.
+
+    :ivar ratio: retries allowed per request
+    :ivar slack: retries allowed in addition in each window
+    :ivar window_s: length of the window
+    """
 
     ratio: float
     slack: float
@@ -48,9 +56,9 @@
 
 @attrs.define(eq=False)
 class RetryBudget:
-    """This entry's part of the repeats to each service.
+    """Limits this entry's retries to its share of each service's retry limit.
 
-    :ivar share: returns this entry's part of all callers
+    :ivar share: returns this entry's share of all callers, from 0 to 1
     """
 
     bound: RetryBound
@@ -59,18 +67,18 @@
     _retries: dict[str, _SlidingWindow] = attrs.field(factory=dict, init=False)
 
     def record_request(self, service: str) -> None:
-        """Count a caller's request."""
+        """Count a request from a caller."""
         self._window(self._requests, service).add()
 
     def try_acquire(self, service: str) -> bool:
-        """Use one repeat, or tell that there is none left."""
+        """Consume one retry and return True, or return False if none is left."""
         if not self.has_remaining(service):
             return False
         self._window(self._retries, service).add()
         return True
 
     def has_remaining(self, service: str) -> bool:
-        """Tell whether a repeat is left."""
+        """Return whether a retry is left, without consuming it."""
         retries = self._window(self._retries, service).total()
         requests = self._window(self._requests, service).total()
         slack = self.bound.slack * self.share()
@@ -84,11 +92,11 @@
 
 @attrs.define(eq=False)
 class ColdBudget:
-    """This entry's part of the requests that cold servers bear in a second.
+    """Limits the requests per second that this entry sends to each cold server.
 
-    :ivar overage: factor on what a server says that it bears
-    :ivar slack: requests a second beyond that, over all entries
-    :ivar entry_list: the entries that share the bound
+    :ivar overage: factor on the rate that a cold server tolerates
+    :ivar slack: requests per second allowed in addition, over all entries
+    :ivar entry_list: entries that share the limit
     """
 
     overage: float
@@ -99,12 +107,15 @@
     _sent_times_s: dict[str, collections.deque[float]] = attrs.field(factory=dict, init=False)
 
     def may_send(self, server: servers.Server, max_requests_per_s: float) -> bool:
-        """Tell whether one more request may go to a cold server."""
+        """Return whether one more request may be sent to a cold server.
+
+        :param max_requests_per_s: rate that the server tolerates from all entries together
+        """
         total = USABLE_FRACTION * (max_requests_per_s * self.overage + self.slack)
         return len(self._recent_sends(server.server_id)) < self._quota(server, total)
 
     def record_request(self, server_id: str) -> None:
-        """Count a request that is sent to a cold server."""
+        """Count a request sent to a cold server."""
         self._recent_sends(server_id).append(trio.current_time())
 
     def _quota(self, server: servers.Server, total: float) -> int:
@@ -117,7 +128,8 @@
         return self._quotas[key]
 
     def _compute_quota(self, server: servers.Server, total: float) -> int:
-        # Most requests reach a server from entries of its zone.
+        # Most requests reach a server from entries in its own zone, so only these share the limit;
+        # entries in other zones share it if the server's zone has none.
         own, others = self.entry_list.own, self.entry_list.others()
         zone_entries = [entry for entry in others if entry.zone == server.zone]
         if own.zone == server.zone:
--- a/toucanhold/gateway/calls.py
+++ b/toucanhold/gateway/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request, what is sent on, and how either may end."""
+"""Defines calls, their responses, their errors and the interfaces that carry them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why a request ended without an answer of a backend server."""
+    """Why a request ended without a response from a backend server."""
 
     NO_CONFIGURATION = "no configuration is known yet"
     NO_ROUTE = "no route matches"
@@ -29,10 +29,11 @@
 
 
 class CallError(Exception):
-    """A request gets a final answer of this system's own.
+    """Raised when a call is refused and no response from a backend server is forwarded.
 
-    :ivar may_have_run: whether a backend server may have run it, or may run it yet
-    :ivar retry_after_s: when to come back; None for no hint
+    :ivar reason: why the call is refused
+    :ivar may_have_run: whether a backend server may have run the call or may still run it
+    :ivar retry_after_s: delay after which the caller may retry; None for no hint
     """
 
     def __init__(
@@ -45,13 +46,15 @@
 
 
 class ExchangeError(Exception):
-    """A backend server gave no whole answer."""
+    """Raised when a backend server did not send a complete response."""
 
 
 class NotRunError(ExchangeError):
-    """The backend server has not run the request and never will.
+    """Raised when a backend server has not run the request and never will.
 
-    :ivar is_gone: whether another server or none listens at the address
+    :ivar is_gone: whether no server, or a different one, listens at the server's address
+    :ivar at_fault: ID of the group member that prevents the head from serving; empty if none was
+        named
     """
 
     def __init__(self, detail: str, is_gone: bool = False, at_fault: str = "") -> None:
@@ -61,9 +64,9 @@
 
 
 class ResponseLostError(ExchangeError):
-    """The backend server may have run the request.
+    """Raised when a response is lost or unusable and the request may have run.
 
-    :ivar is_connection_lost: whether the connection broke, as it does when a server crashes
+    :ivar is_connection_lost: whether the connection was lost, as it is when a server crashes
     """
 
     def __init__(self, detail: str, is_connection_lost: bool = False) -> None:
@@ -73,15 +76,16 @@
 
 @attrs.frozen
 class Call:
-    """One attempt of a caller.
-
-    :ivar call_id: the caller's name for this attempt
-    :ivar target: path and query as they came
-    :ivar headers: what is passed on unchanged
-    :ivar key: the caller's key, or None
-    :ivar deadline_s: time of the run's clock at which the caller leaves
-    :ivar model: the model asked for; empty for plain services
-    :ivar last_event_id: the event after which a stream is to go on; None from its start
+    """One request from a caller; a caller's retry is another call.
+
+    :ivar call_id: request ID chosen by the caller
+    :ivar target: path and query string as received
+    :ivar headers: headers to forward unchanged
+    :ivar key: the caller's API key; None without one
+    :ivar arrived_s: trio clock time at which the request arrived
+    :ivar deadline_s: trio clock time at which the caller stops waiting
+    :ivar model: requested model; empty for services without models
+    :ivar last_event_id: ID of the event after which a stream resumes; None to start it
     """
 
     call_id: str
@@ -100,10 +104,12 @@
 
 @attrs.frozen
 class ForwardedCall:
-    """A call on its way to one backend server.
+    """A call as it is sent to one backend server.
 
-    :ivar workspace: who holds the caller's key; empty for public routes
-    :ivar remaining_s: time that the server may take
+    :ivar workspace: name of the workspace that owns the caller's key; empty on public routes
+    :ivar remaining_s: time left for the response
+    :ivar last_event_id: ID of the event after which a stream resumes; None to start it
+    :ivar is_stream: whether the response is a stream of server-sent events
     """
 
     call: Call
@@ -115,7 +121,11 @@
 
 @attrs.frozen
 class Response:
-    """The head of a server's answer; ``chunks`` raises :class:`ResponseLostError`."""
+    """A backend server's response.
+
+    :ivar status: HTTP status
+    :ivar chunks: the body; iterating raises :class:`ResponseLostError` if the connection is lost
+    """
 
     status: int
     headers: Headers
@@ -129,27 +139,27 @@
     def exchange(
         self, server: servers.Server, forwarded: ForwardedCall
     ) -> contextlib.AbstractAsyncContextManager[Response]:
-        """Send a call and give its answer; leaving the context early ends the server's work.
+        """Send a call and yield the response; leaving the context early cancels it on the server.
 
-        :raises NotRunError: when the server has not run it
-        :raises ResponseLostError: when it may have
+        :raises NotRunError: if the server has not run the call
+        :raises ResponseLostError: if it may have run the call, but the response is lost
         """
 
 
 class Reply(abc.ABC):
-    """Where a caller's answer goes."""
+    """Writes the response to a caller."""
 
     @abc.abstractmethod
     async def start(self, status: int, headers: Headers, length_bytes: int | None) -> None:
-        """Begin the answer.
+        """Send the status and the headers.
 
-        :param length_bytes: of a body that is known whole, or None for a stream
+        :param length_bytes: length of the body; None for a stream
         """
 
     @abc.abstractmethod
     async def send(self, chunk: bytes) -> None:
-        """Pass on a part of the body."""
+        """Send a part of the body."""
 
     @abc.abstractmethod
     async def finish(self) -> None:
-        """Mark the answer as complete."""
+        """Mark the response as complete."""
--- a/toucanhold/gateway/crashes.py
+++ b/toucanhold/gateway/crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash the backend servers that run them."""
+"""Detects requests that crash the backend servers that run them."""
 
 from __future__ import annotations
 
@@ -9,17 +9,20 @@
 
 from toucanhold.gateway import calls
 
-# A worker that crashed is back after some seconds; the request comes again within its deadline,
-# eight seconds at most, and perhaps once more. A minute covers several such rounds.
+# A crashed backend server restarts within seconds, and the request is retried within its deadline
+# of at most eight seconds, possibly once more. A minute covers several such cycles.
 RETENTION_S = 60.0
-# Lost connections also have innocent causes, mostly one at a time. After this many in a row for
-# the very same request it is the request.
+# Connections are also lost for reasons unrelated to the request, mostly one at a time. After this
+# many consecutive losses for the same request, the request is the cause.
 CRASH_THRESHOLD = 3
 MAX_RECORDS = 10_000
 
 
 def request_fingerprint(call: calls.Call, workspace: str) -> str:
-    """Return what tells equal requests of one workspace, whatever their names."""
+    """Return a hash of the request's content and workspace as hexadecimal digits.
+
+    Call IDs are left out, so that retries of a request have the same fingerprint.
+    """
     digest = hashlib.blake2b(digest_size=12)
     for part in (call.method.encode(), call.target, workspace.encode(), call.body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -29,43 +32,49 @@
 
 @attrs.define
 class _CrashCount:
+    """Lost connections of one request; ``last_s`` is the trio clock time of the newest."""
+
     count: int = 0
     last_s: float = 0.0
 
 
 @attrs.define(eq=False)
 class CrashTracker:
-    """Connections that broke while a server ran a request, by request."""
+    """Counts lost connections to servers by the fingerprint of the request that they ran."""
 
     _records: dict[str, _CrashCount] = attrs.field(factory=dict, init=False)
 
     def record_crash(self, fingerprint: str, count: int = 1) -> None:
-        """Count servers that were lost with a request."""
+        """Add lost connections to a request's count."""
         self._evict_expired()
         record = self._records.setdefault(fingerprint, _CrashCount())
         record.count += count
         record.last_s = trio.current_time()
 
     def merge(self, fingerprint: str, count: int) -> None:
-        """Take in what another entry has counted in all."""
+        """Update a request's count with another entry's total, if that is higher."""
         self._evict_expired()
         record = self._records.setdefault(fingerprint, _CrashCount())
         if count > record.count:
             record.count, record.last_s = count, trio.current_time()
 
     def clear(self, fingerprint: str) -> None:
-        """Take note that a server answered the request."""
+        """Reset a request's count after a server has responded to it."""
         self._records.pop(fingerprint, None)
 
     def is_blocked(self, fingerprint: str) -> bool:
-        """Tell whether no server should get the request any more."""
+        """Return whether a request may not be sent to any server any more."""
         record = self._records.get(fingerprint)
         if record is None or trio.current_time() - record.last_s > RETENTION_S:
             return False
         return record.count >= CRASH_THRESHOLD
 
     def recent_counts(self, limit: int, max_age_s: float = RETENTION_S) -> list[tuple[str, int]]:
-        """Return the newest counts, for other entries."""
+        """Return fingerprints with their counts, to be sent to other entries.
+
+        :param limit: maximum number of fingerprints; the latest additions are returned
+        :param max_age_s: maximum time since the newest lost connection
+        """
         oldest_s = trio.current_time() - max_age_s
         newest = list(self._records.items())[-limit:]
         return [
--- a/toucanhold/gateway/entries.py
+++ b/toucanhold/gateway/entries.py
@@ -1,4 +1,4 @@
-"""The entries that are there, as each keeps itself written in the key-value service."""
+"""Registers this entry in the key-value service and lists the other registered entries."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 from toucanhold.coordination import keyvalue, lease, mirror
 
 ENTRIES_PREFIX = "toucanhold/entries/"
-# An entry that was killed is named to callers for this long at most. It is renewed four times in
-# this time, for a tenth of a call's price each.
+# A killed entry is advertised to callers for at most this long. The lease is renewed four times in
+# this period; each renewal costs a tenth of the price of a call.
 ENTRY_LEASE_S = 3
-# All leases may lapse while the service is away; each entry writes itself anew within a second.
+# All leases may lapse during an outage of the key-value service. Each entry registers again within
+# a second after it.
 LAPSE_GRACE_S = 2.0
 
 LOGGER = logging.getLogger(__name__)
@@ -23,12 +24,14 @@
 
 @attrs.frozen
 class Entry:
-    """One start of one entry.
-
-    :ivar callers_address: where callers connect
-    :ivar exchange_address: where other entries send to
-    :ivar boot: tells its starts apart
-    :ivar cores: its processor, in cores of usual speed
+    """Registration of one process of an entry.
+
+    :ivar entry: name of the entry; stays the same over restarts
+    :ivar zone: availability zone
+    :ivar callers_address: ``host:port`` at which callers connect
+    :ivar exchange_address: ``host:port`` for datagrams and streams from other entries
+    :ivar boot: unique ID of the process, which distinguishes restarts
+    :ivar cores: processor capacity in reference cores
     """
 
     entry: str
@@ -42,9 +45,12 @@
 
 @attrs.define(eq=False)
 class EntryList:
-    """This entry's own record, and the others'.
+    """Keeps this entry registered and follows the registrations of the others.
 
-    :ivar version: grows with each change of the others
+    :ivar own: this entry
+    :ivar source: mirror of the key-value service
+    :ivar is_stopping: whether this entry has deregistered or is doing so
+    :ivar version: incremented with each change of the other entries
     """
 
     own: Entry
@@ -58,39 +64,43 @@
     _leased_key: lease.LeasedKey = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Follow the records."""
+        """Subscribe to changes of the registrations."""
         self._leased_key = lease.LeasedKey(
             self.client,
             self._own_key,
             codec.to_json(self.own),
             ENTRY_LEASE_S,
             self.rng,
-            # The key names this very process. In an outage each entry would ask for it four times
-            # in the lease's time; renewing costs a tenth of that.
+            # The key contains this process's boot ID, so no other process can hold it. Otherwise,
+            # during an outage, each entry would read the key four times per lease period; renewing
+            # costs a tenth of that.
             is_contended=False,
         )
         self.source.listen(ENTRIES_PREFIX, self._apply_changes)
 
     async def run(self) -> None:
-        """Keep the own record until cancelled or stopped."""
+        """Keep this entry registered until cancelled or deregistered."""
         await self._leased_key.run()
 
     async def deregister(self) -> None:
-        """Take the own record away for good."""
+        """Remove this entry's registration permanently."""
         self.is_stopping = True
         await self._leased_key.release()
 
     def others(self) -> list[Entry]:
-        """Return the other entries that are there."""
+        """Return the other registered entries."""
         return list(self._others.values())
 
     def find(self, name: str, boot: str) -> Entry | None:
-        """Return another entry, unless it is unknown or has started again since."""
+        """Return another entry, or None if it is not registered or has restarted since.
+
+        :param boot: expected boot ID
+        """
         entry = self._others.get(name)
         return entry if entry is not None and entry.boot == boot else None
 
     def serving(self) -> list[Entry]:
-        """Return the entries that callers may be sent to."""
+        """Return the entries that accept callers, with this one unless it is stopping."""
         return self.others() + ([] if self.is_stopping else [self.own])
 
     @property
@@ -106,19 +116,21 @@
             try:
                 self._records[key] = item.create_revision, codec.from_json(item.value, Entry)
             except codec.CodecError as error:
-                LOGGER.warning("the record %s is not readable: %s", key, error)
+                LOGGER.warning("entry record %s cannot be decoded: %s", key, error)
         self._refresh_others()
 
     def _refresh_others(self) -> None:
         newest: dict[str, tuple[int, Entry]] = {}
         for create_revision, entry in self._records.values():
             previous = newest.get(entry.entry, (0, entry))
-            # A machine that was killed and is back stands here twice until its old lease ends.
+            # A killed and restarted entry is listed twice until its old lease expires. The newest
+            # record counts.
             if entry.entry != self.own.entry and create_revision > previous[0]:
                 newest[entry.entry] = create_revision, entry
         self._set_others({name: entry for name, (_, entry) in newest.items()})
 
     def _set_others(self, others: dict[str, Entry]) -> None:
+        """Replace the other entries; shortly after an outage, only add and update them."""
         if self.source.since_failure_s < LAPSE_GRACE_S:
             others = self._others | others
         for name in others.keys() - self._others.keys():
@@ -129,7 +141,7 @@
         self._others = others
 
     async def run_expiry(self) -> None:
-        """Drop records that did not come back after an outage, until cancelled."""
+        """Remove entries that did not register again after an outage, until cancelled."""
         while True:
             await trio.sleep(0.5)
             self._refresh_others()
--- a/toucanhold/gateway/exchange.py
+++ b/toucanhold/gateway/exchange.py
@@ -1,11 +1,12 @@
-"""Load and findings, exchanged between entries by datagram.
+"""Exchanges load, silent servers and crash counts between entries by UDP.
 
-Each entry reports to an aggregator of its availability zone and gets a digest of all others in
-return. Aggregators send each other summaries of their zones. So the datagrams that an entry sends
-and receives do not grow with the number of entries, and few of them cross zones, which is paid for.
+Each entry reports to an aggregator in its availability zone and receives a digest of all other
+entries in return. Aggregators send summaries of their zones to each other. The number of datagrams
+per entry therefore does not grow with the number of entries, and few of them cross zones, where
+traffic is billed.
 
-Late counts are worth nothing and the next ones follow at once, so nothing is sent twice or waits
-behind a lost packet.
+Outdated counts are worthless and newer ones follow shortly, so lost datagrams are not retransmitted
+and never delay later ones, as they would on a TCP connection.
 """
 
 from __future__ import annotations
@@ -23,18 +24,19 @@
 from toucanhold.gateway import crashes, entries, findings, hierarchy, load, notices
 
 REPORT_INTERVAL_S = 0.1
-# Summaries go to the two aggregators of each other zone in turn.
+# Summaries alternate between the two aggregators of each other zone.
 SUMMARY_INTERVAL_S = 0.15
-# Control traffic of an entry; where digests are long, reports are sent less often.
+# Limit on the digest traffic to an entry: reports, each answered by a digest, are sent less often
+# if digests are long.
 MAX_CONTROL_BYTES_PER_S = 8000
 MAX_REPORT_INTERVAL_S = 0.3
-# An aggregator that leaves reports unanswered for so long is passed over: it may be dead, paused
-# or cut off.
+# An aggregator that has not answered reports for this long is skipped: it may be dead, paused or
+# unreachable.
 AGGREGATOR_TIMEOUT_S = 0.7
-# What an entry reported counts for so long; one that died has nothing in flight.
+# Reported counts expire after this time, because an entry that died has no requests in flight.
 REPORT_VALIDITY_S = 1.0
 MAX_CRASH_COUNTS = 16
-# Old counts of lost connections are repeated in one notice out of so many, for restarted entries.
+# One notice in this many also repeats older crash counts, for entries that have restarted.
 FULL_CRASHES_EVERY_NOTICES = 10
 RECENT_CRASH_MAX_AGE_S = 3.0
 MAX_WARNED_SENDERS = 1000
@@ -45,10 +47,12 @@
 
 @attrs.define(eq=False)
 class Exchange:
-    """Sends what this entry knows, and takes in what others send.
+    """Sends this entry's load, silent servers and crash counts, and merges those of others.
 
-    :ivar on_silent: called with a server that another entry found silent, and that entry's name
-    :ivar sent_bytes: by kind of notice, and whether the receiver is in another availability zone
+    :ivar on_silent: called with the ID of a server that another entry reports as silent, and with
+        the name of that entry
+    :ivar sent_bytes: bytes sent, by kind of notice and whether the receiver is in another
+        availability zone
     """
 
     entry_list: entries.EntryList
@@ -76,13 +80,13 @@
 
     @property
     def digest_age_s(self) -> float:
-        """Age of the newest answer of an aggregator, in seconds; 0 where this entry is one."""
+        """Age of the newest digest in seconds; 0 if this entry is the active aggregator."""
         newest_s = max(self._last_digest_s.values(), default=float("-inf"))
         return 0.0 if self.is_active_aggregator else trio.current_time() - newest_s
 
     def report_silent(self, server_id: str) -> None:
-        """Tell all others of a silent server at once."""
-        # Until they know it, they go on sending to it, and their callers wait in vain.
+        """Notify all other entries of a silent server immediately."""
+        # Until they are notified, they keep sending requests to it, whose callers wait in vain.
         if self._silence_reports.record(server_id, self.entry_list.own.entry, is_local=True):
             self._request_urgent_send()
 
@@ -96,9 +100,9 @@
                 nursery.start_soon(self._send, socket)
 
     def upstream(self) -> list[entries.Entry]:
-        """Return the aggregators to report to: the first that answers, and those before it.
+        """Return the aggregators to report to: the first that answers, and those ranked above it.
 
-        Empty where this entry is the zone's first aggregator.
+        The list is empty if this entry is the zone's highest-ranked aggregator.
         """
         self._refresh_aggregators()
         now_s = trio.current_time()
@@ -111,7 +115,7 @@
 
     @property
     def is_active_aggregator(self) -> bool:
-        """Whether this entry sums up its zone: an aggregator, and none before it answers."""
+        """Whether this entry is an aggregator of its zone and none ranked above it answers."""
         upstream = self.upstream()
         own = self.entry_list.own
         return own in self._aggregators[own.zone] and not self._answering_aggregator(upstream)
@@ -122,6 +126,7 @@
         return ranked[: ranked.index(own)] if own in ranked else ranked
 
     def _answering_aggregator(self, aggregators: list[entries.Entry]) -> entries.Entry | None:
+        """Return the last aggregator of :meth:`upstream` if it answers, else None."""
         if not aggregators:
             return None
         candidate = aggregators[-1]
@@ -181,6 +186,11 @@
         await self._send_to(socket, notices.Kind.DIGEST, digest, [receiver])
 
     def _encode_notice(self, kind: notices.Kind, counts: dict[str, int], is_upward: bool) -> bytes:
+        """Return a notice as a datagram.
+
+        :param is_upward: whether to include only the silent servers that this entry or one that
+            reports to it detected
+        """
         own = self.entry_list.own
         is_full = self._send_count % FULL_CRASHES_EVERY_NOTICES == 0
         max_age_s = crashes.RETENTION_S if is_full else RECENT_CRASH_MAX_AGE_S
@@ -200,7 +210,7 @@
             try:
                 data, _ = await socket.recvfrom(notices.DATAGRAM_LIMIT_BYTES)
             except OSError as error:
-                # A refused datagram comes back as an error of the next call.
+                # An ICMP error for a datagram sent earlier is raised by the next socket call.
                 if error.errno not in (errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENETUNREACH):
                     raise
                 continue
@@ -209,7 +219,7 @@
                 await self._send_digest(socket, sender)
 
     def _handle_datagram(self, data: bytes) -> entries.Entry | None:
-        """Take in a datagram; return the sender where it is owed a digest."""
+        """Process a datagram; return the sender if it must be sent a digest, else None."""
         try:
             notice = notices.decode(data)
         except notices.NoticeError as error:
@@ -254,7 +264,7 @@
             self.loads.remove_source(UPSTREAM_SOURCE)
             self.loads.update_source(f"zone {sender.zone}", notice.in_flight, REPORT_VALIDITY_S)
         else:
-            # The digest covers the other zones.
+            # The aggregator's digest includes the other zones.
             self.loads.remove_source(f"zone {sender.zone}")
 
     def _handle_silence_reports(self, notice: notices.Notice) -> None:
@@ -270,12 +280,12 @@
         self._urgent_signal.wake()
 
     def _warn_once(self, key: str, message: str) -> None:
-        # Once a sender: a peer in a loop must not fill the log.
+        # Once per sender, so that a peer that repeats an invalid notice does not flood the log.
         if key in self._warned_senders:
             return
         if len(self._warned_senders) < MAX_WARNED_SENDERS:
             self._warned_senders.add(key)
-            LOGGER.warning("a notice was passed over: %s: %s", key, message)
+            LOGGER.warning("ignored a notice (%s): %s", key, message)
 
     async def _send_to(
         self,
@@ -289,5 +299,5 @@
             try:
                 await socket.sendto(data, (host, int(port)))
             except OSError as error:
-                LOGGER.debug("notice to %s not sent: %s", entry.entry, error)
+                LOGGER.debug("could not send a notice to entry %s: %s", entry.entry, error)
             self.sent_bytes[kind, entry.zone != self.entry_list.own.zone] += len(data)
--- a/toucanhold/gateway/findings.py
+++ b/toucanhold/gateway/findings.py
@@ -1,18 +1,20 @@
-"""Servers that entries found silent, and for how long they tell each other."""
+"""Deduplicates and relays reports of backend servers that have stopped sending events."""
 
 from __future__ import annotations
 
 import attrs
 import trio
 
-# Covers three notices: one lost datagram must not cost the finding.
+# Covers three notices, so that a report survives the loss of one datagram.
 REPEAT_PERIOD_S = 0.5
-# A finding is acted on once in this time, however many entries repeat it.
+# A server's reports are acted on once in this period, however many entries repeat them.
 DEDUPLICATION_S = 1.0
 
 
 @attrs.frozen
 class _SilenceReport:
+    """A silent server, with the name of the entry that detected it."""
+
     entry: str
     reported_s: float
     is_local: bool
@@ -20,15 +22,16 @@
 
 @attrs.define(eq=False)
 class SilenceReports:
-    """What this entry found, and what it received."""
+    """Silent servers that this entry detected or that other entries reported."""
 
     _reports: dict[str, _SilenceReport] = attrs.field(factory=dict, init=False)
 
     def record(self, server_id: str, entry: str, is_local: bool) -> bool:
-        """Take in a finding.
+        """Record that a server is silent.
 
-        :param is_local: whether it comes from this entry or one that reports to it
-        :return: whether it is new
+        :param entry: name of the entry that detected it
+        :param is_local: whether that is this entry or one that reports to it
+        :return: False if the server was already reported within ``DEDUPLICATION_S``
         """
         now_s = trio.current_time()
         previous = self._reports.get(server_id)
@@ -38,7 +41,10 @@
         return True
 
     def local(self) -> dict[str, str]:
-        """Return what to pass up, and to other zones."""
+        """Return the recent local reports, for aggregators here and in other zones.
+
+        :return: server ID to the name of the entry that detected it
+        """
         return {
             server_id: report.entry
             for server_id, report in self._recent().items()
@@ -46,7 +52,10 @@
         }
 
     def all(self) -> dict[str, str]:
-        """Return what to pass down."""
+        """Return all recent reports, for entries that report to this one.
+
+        :return: server ID to the name of the entry that detected it
+        """
         return {server_id: report.entry for server_id, report in self._recent().items()}
 
     def _recent(self) -> dict[str, _SilenceReport]:
--- a/toucanhold/gateway/gateway.py
+++ b/toucanhold/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""Serves one call: find its route, place it, send it, pass the answer on."""
+"""Serves calls: finds the route, selects a server, forwards the response and retries."""
 
 from __future__ import annotations
 
@@ -21,13 +21,14 @@
 )
 from toucanhold.routes import table
 
-# A request that waits gets its answer late, for a part of its worth; past this part of its time
-# the caller is better told when to come back.
+# Fraction of its remaining time that a request may spend in the queue. A late response is worth
+# less to the caller; beyond this wait, a refusal with a retry delay serves the caller better.
 MAX_WAIT_FRACTION = 0.3
-# What may be left over of a request's time for another server to be worth while.
+# Minimum time left for an attempt on another server to be worthwhile.
 MIN_REMAINING_S = 0.05
 RETRY_AFTER_S = 1.0
-# Retries of a request that crashes servers do harm until the servers' work has moved on.
+# Retries of a request that crashes servers are harmful until the servers have finished their other
+# work.
 CRASHING_RETRY_AFTER_S = 30.0
 
 LOGGER = logging.getLogger(__name__)
@@ -35,9 +36,10 @@
 
 @attrs.define(eq=False)
 class Gateway:
-    """Serves calls by the newest routes.
+    """Serves calls according to the newest route table.
 
-    :ivar in_flight: calls that have no final answer yet
+    :ivar servers: sends calls to backend servers
+    :ivar in_flight: number of calls without a final response
     """
 
     routes: table.RouteTableHolder
@@ -51,11 +53,11 @@
     in_flight: int = attrs.field(default=0, init=False)
 
     async def serve(self, call: calls.Call, reply: calls.Reply) -> int:
-        """Give a call its answer; cancel to leave it.
+        """Serve a call and write the response to ``reply``; cancel it if the caller disconnects.
 
-        :return: the status of a server's answer
-        :raises calls.CallError: when the answer is this system's own; nothing was replied yet
-        :raises calls.ResponseLostError: when an answer broke off after its beginning
+        :return: HTTP status of the server's response
+        :raises calls.CallError: if the call is refused; nothing was written to ``reply``
+        :raises calls.ResponseLostError: if the response was interrupted after it had started
         """
         self.in_flight += 1
         try:
@@ -71,6 +73,10 @@
     def _admit(
         self, routes: table.RouteTable, call: calls.Call
     ) -> tuple[table.Route, table.Workspace | None]:
+        """Return the call's route and, if the route requires a key, the workspace of its key.
+
+        :raises calls.CallError: if there is no route, the key is unknown or the body is too large
+        """
         route = routes.find(call.host, call.path)
         if route is None:
             raise calls.CallError(calls.RefusalReason.NO_ROUTE)
@@ -139,7 +145,7 @@
         max_wait_s = MAX_WAIT_FRACTION * (state.deadline_s - trio.current_time())
         latest_start_s = state.latest_start_s
         if state.has_response_started:
-            # The caller gives a stream up after a pause of two seconds.
+            # Callers abandon a stream after a pause of two seconds.
             max_wait_s = min(max_wait_s, 1.0)
             latest_start_s = (
                 trio.current_time() + attempt.QUEUE_TIME_FRACTION * route.gap_objective_s
@@ -183,14 +189,16 @@
             self.health.avoid(state.server_id, str(error))
             self.silence.on_silent(state.server_id)
         if error.at_fault:
-            # The head names the member that keeps it from working: it has broken for good.
+            # The head names the group member that prevents it from serving, so its failure is
+            # permanent.
             self.health.avoid(state.server_id, f"{error.at_fault} is at fault")
             self.silence.on_silent(state.server_id)
 
     def _check_retry(self, state: attempt.CallState, error: calls.ExchangeError) -> None:
-        """Return if the call may go to another server.
+        """Return if the call may be retried on another server, and consume a retry.
 
-        :raises calls.CallError: when it may not
+        :raises calls.CallError: if it may not and no response has started
+        :raises calls.ResponseLostError: if it may not and a response has started
         """
         reason = self._retry_denial_reason(state, error)
         events.log(
@@ -207,6 +215,7 @@
             self._raise_failure(state, calls.RefusalReason.RESPONSE_LOST, RETRY_AFTER_S)
 
     def _retry_denial_reason(self, state: attempt.CallState, error: calls.ExchangeError) -> str:
+        """Return why the call may not be retried; if it may, consume a retry and return ""."""
         if isinstance(error, calls.ResponseLostError):
             if not state.route.may_repeat:
                 return "it may have run, and may run only once"
@@ -221,6 +230,11 @@
     def _raise_failure(
         self, state: attempt.CallState, reason: calls.RefusalReason, retry_after_s: float
     ) -> None:
+        """Raise the error that describes how far the call has progressed.
+
+        :raises calls.ResponseLostError: if a response has started
+        :raises calls.CallError: if not; with RESPONSE_LOST if the call may have run
+        """
         if state.has_response_started:
             raise calls.ResponseLostError(reason.value)
         if state.may_have_run:
--- a/toucanhold/gateway/health.py
+++ b/toucanhold/gateway/health.py
@@ -1,4 +1,4 @@
-"""What the outcomes of requests tell of backend servers."""
+"""Tracks failure rates of backend servers and which of them to avoid."""
 
 from __future__ import annotations
 
@@ -10,14 +10,16 @@
 
 from toucanhold import events
 
-# Long enough for some outcomes of each server at the lowest rates (one a second), short enough to
-# forgive a server a few seconds after it has recovered.
+# Time constant of the exponential decay of outcomes: long enough to cover several outcomes at the
+# lowest rates (one per second), short enough for a server's failures to stop counting a few seconds
+# after it has recovered.
 DECAY_TIME_S = 4.0
-# A server that could not be reached, or whose streams all fell silent, is passed over this long.
+# A server that could not be reached, or whose streams have all fallen silent, is avoided for this
+# long at first.
 INITIAL_AVOIDANCE_S = 1.5
-# Each time that it fails again before it has answered anything, it is passed over for twice as
-# long: a dead head stays registered for seconds, and through an outage of the store for as long as
-# that lasts. Each try costs its request 0.3 s and everybody a part of the budget of retries.
+# The time doubles with each further failure before a successful response, up to this limit. A dead
+# head stays registered for seconds, or throughout an outage of the key-value service, and each
+# attempt on it costs the request 0.3 s and consumes retries that all requests share.
 MAX_AVOIDANCE_S = 12.0
 
 LOGGER = logging.getLogger(__name__)
@@ -25,6 +27,8 @@
 
 @attrs.define
 class _OutcomeCounts:
+    """Exponentially decayed numbers of requests; ``updated_s`` is a trio clock time."""
+
     failed: float = 0.0
     total: float = 0.0
     updated_s: float = 0.0
@@ -38,14 +42,14 @@
 
 @attrs.define(eq=False)
 class Health:
-    """Failures and silences, by server."""
+    """Outcomes of requests and avoidance periods, by server ID."""
 
     _outcomes: dict[str, _OutcomeCounts] = attrs.field(factory=dict, init=False)
     _consecutive_failures: dict[str, int] = attrs.field(factory=dict, init=False)
     _avoid_until_s: dict[str, float] = attrs.field(factory=dict, init=False)
 
     def record_outcome(self, server_id: str, is_failure: bool) -> None:
-        """Count an outcome."""
+        """Count a request's outcome; a success resets the server's consecutive failures."""
         outcomes = self._outcomes.setdefault(
             server_id, _OutcomeCounts(updated_s=trio.current_time())
         )
@@ -56,16 +60,21 @@
             self._consecutive_failures.pop(server_id, None)
 
     def failure_rate(self, server_id: str) -> float:
-        """Return the share of recent requests that failed; few requests count for little."""
+        """Return the smoothed fraction of recent requests that failed, from 0 to 1."""
         outcomes = self._outcomes.get(server_id)
         if outcomes is None:
             return 0.0
         outcomes.decay(trio.current_time())
-        # Two good outcomes are taken for granted: one failure alone must not empty a server.
+        # Two successes are assumed in addition, so that one failure alone does not divert all
+        # requests from a server.
         return outcomes.failed / (outcomes.total + 2)
 
     def avoid(self, server_id: str, reason: str, initial_s: float = INITIAL_AVOIDANCE_S) -> None:
-        """Pass a server over for a while, where there are others."""
+        """Avoid a server temporarily if others are available.
+
+        :param reason: logged
+        :param initial_s: avoidance period after the first failure; doubled with each further one
+        """
         if self.is_avoided(server_id):
             return
         failures = self._consecutive_failures.get(server_id, 0)
@@ -82,11 +91,11 @@
         self._avoid_until_s[server_id] = trio.current_time() + for_s
 
     def has_failed_repeatedly(self, server_id: str) -> bool:
-        """Tell whether a server is passed over for more than one failure in a row."""
+        """Return whether a server is avoided after more than one consecutive failure."""
         return self._consecutive_failures.get(server_id, 0) > 1 and self.is_avoided(server_id)
 
     def is_avoided(self, server_id: str) -> bool:
-        """Tell whether a server is passed over now."""
+        """Return whether a server is avoided now."""
         until_s = self._avoid_until_s.get(server_id)
         if until_s is None:
             return False
@@ -96,5 +105,5 @@
         return True
 
     def avoided(self) -> list[str]:
-        """Return the servers that are passed over now."""
+        """Return the IDs of the servers that are avoided now."""
         return [name for name in list(self._avoid_until_s) if self.is_avoided(name)]
--- a/toucanhold/gateway/hierarchy.py
+++ b/toucanhold/gateway/hierarchy.py
@@ -1,4 +1,4 @@
-"""Who watches the key-value service, who follows whom, and who sums up what entries report."""
+"""Determines which entry each entry follows, and which entries aggregate load reports."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from toucanhold.gateway import entries
 
-# Streams that one entry serves within its availability zone. A zone of sixteen needs one level; at
-# the two-year size, 36 entries a zone, there are two.
+# Streams that one entry serves within its availability zone. A zone of 16 entries needs one level;
+# at the size planned in two years, 36 entries per zone, there are two.
 MAX_FOLLOWERS_PER_ENTRY = 16
-# Entries of other zones to turn to when the own zone's are lost: zones fail by themselves.
+# Fallback sources in other zones if those in the own zone are lost: zones fail independently.
 MAX_OTHER_ZONE_SOURCES = 3
-# Entries of a zone that may sum up: the second one takes over when the first does not answer.
+# The second aggregator of a zone takes over if the first does not answer.
 AGGREGATORS_PER_ZONE = 2
 
 
 @attrs.define(eq=False)
 class Hierarchy:
-    """This entry's place, worked out anew when entries come or go.
+    """Caches this entry's sources until the entries or the planner change.
 
-    :ivar planner: returns the name of the entry that plans
+    :ivar planner: returns the name of the entry that is the planner; empty without one
     """
 
     entry_list: entries.EntryList
@@ -42,20 +42,19 @@
 def sources(
     own: entries.Entry, others: collections.abc.Iterable[entries.Entry], planner: str
 ) -> list[str]:
-    """Return the addresses of the entries to follow, best first.
+    """Return the exchange addresses of the entries to follow, in order of preference.
 
-    Empty for the planner, which watches the service itself, and without a planner for the first
-    entry of each zone. All entries that know of the same ones come to the same order, in which
-    each follows an earlier one.
+    The list is empty for the planner, which watches the key-value service itself, and, without a
+    planner, for the first entry of each zone. Entries with equal lists compute the same order, and
+    each follows one ranked above it, so there are no cycles.
 
-    :param planner: name of the entry that plans; it is the first of its zone, since it acts on
-        what it sees
+    :param planner: name of the planner; it ranks first in its zone, because it acts on the changes
     """
     zones = by_zone([own, *others], planner)
     zone = zones[own.zone]
     rank = zone.index(own)
     if not rank:
-        # One watch for all zones: each return of a watch is a call that is paid for.
+        # One watch serves all zones, because each response of a watch is billed as a call.
         return [] if own.entry == planner else _planner_address(zones, planner)
     chosen = [zone[(rank - 1) // MAX_FOLLOWERS_PER_ENTRY]]
     if zone[0] not in chosen:
@@ -70,7 +69,7 @@
 def aggregators(
     own: entries.Entry, others: collections.abc.Iterable[entries.Entry]
 ) -> dict[str, list[entries.Entry]]:
-    """Return the entries that sum up, by availability zone, the first choice first."""
+    """Return the aggregators of each availability zone, the preferred one first."""
     zones = by_zone([own, *others])
     return {zone: members[:AGGREGATORS_PER_ZONE] for zone, members in zones.items()}
 
@@ -78,7 +77,7 @@
 def by_zone(
     all_entries: collections.abc.Iterable[entries.Entry], planner: str = ""
 ) -> dict[str, list[entries.Entry]]:
-    """Return the entries of each availability zone, by rank."""
+    """Return the entries of each availability zone in order of rank."""
     zones: dict[str, list[entries.Entry]] = {}
     for entry in sorted(all_entries, key=lambda entry: _rank_key(entry, planner)):
         zones.setdefault(entry.zone, []).append(entry)
@@ -91,6 +90,6 @@
 
 
 def _rank_key(entry: entries.Entry, planner: str) -> tuple:
-    # Large machines first: whoever passes changes on spends processor time and bandwidth on it.
+    # Large machines rank first, because relaying changes costs processor time and bandwidth.
     tie_breaker = hashlib.blake2b(f"{entry.entry}/{entry.boot}".encode(), digest_size=8).digest()
     return entry.entry != planner, -entry.cores, tie_breaker
--- a/toucanhold/gateway/load.py
+++ b/toucanhold/gateway/load.py
@@ -1,4 +1,4 @@
-"""How busy each backend server is: this entry's requests in flight, and those of the others."""
+"""Tracks the requests that this and other entries have in flight at each backend server."""
 
 from __future__ import annotations
 
@@ -9,11 +9,14 @@
 import attrs
 import trio
 
+# Requests in flight by server ID.
 Counts = collections.abc.Mapping[str, int]
 
 
 @attrs.frozen
 class _SourceCounts:
+    """Counts reported by one source; they expire at a trio clock time."""
+
     counts: Counts
     valid_until_s: float
     is_local: bool
@@ -21,11 +24,11 @@
 
 @attrs.define(eq=False)
 class LoadTracker:
-    """Requests in flight by server, kept as totals that are updated by difference.
+    """Requests in flight by server ID, kept as incrementally updated totals.
 
-    An estimate costs the same however many entries there are.
+    The cost of an estimate therefore does not depend on the number of entries.
 
-    :ivar own: this entry's requests
+    :ivar own: this entry's requests in flight
     """
 
     own: collections.Counter[str] = attrs.field(factory=collections.Counter, init=False)
@@ -34,21 +37,22 @@
     _next_expiry_s: float = attrs.field(default=math.inf, init=False)
 
     def add(self, server_id: str) -> None:
-        """Count a request that is sent."""
+        """Count a request of this entry that is sent to a server."""
         self.own[server_id] += 1
 
     def remove(self, server_id: str) -> None:
-        """Count a request that has ended."""
+        """Stop counting a request of this entry; surplus calls have no effect."""
         _subtract(self.own, {server_id: 1})
 
     def update_source(
         self, source: str, counts: Counts, valid_s: float, is_local: bool = False
     ) -> None:
-        """Replace what one source reported.
+        """Replace the counts that one source reported.
 
-        :param source: an entry, or an availability zone whose entries were summed
-        :param valid_s: time after which it says nothing any more
-        :param is_local: whether the source reports to this entry and to no other
+        :param source: name of an entry, or of a group of entries whose counts were summed
+        :param valid_s: time after which the counts expire
+        :param is_local: whether the counts are to be included in :meth:`local_counts`, because the
+            source reports to this entry
         """
         self.remove_source(source)
         valid_until_s = trio.current_time() + valid_s
@@ -57,18 +61,18 @@
         self._next_expiry_s = min(self._next_expiry_s, valid_until_s)
 
     def remove_source(self, source: str) -> None:
-        """Forget what one source reported."""
+        """Discard the counts that one source reported, if any."""
         previous = self._sources.pop(source, None)
         if previous is not None:
             _subtract(self._other_counts, previous.counts)
 
     def estimate(self, server_id: str) -> int:
-        """Return the requests that all entries have in flight there."""
+        """Return the number of requests that all entries have in flight at a server."""
         self._expire()
         return self.own.get(server_id, 0) + self._other_counts.get(server_id, 0)
 
     def local_counts(self) -> dict[str, int]:
-        """Return this entry's requests and those of its local sources."""
+        """Return the requests in flight of this entry and its local sources, by server ID."""
         self._expire()
         total = collections.Counter(self.own)
         for source in self._sources.values():
@@ -77,7 +81,7 @@
         return dict(total)
 
     def counts_without(self, source: str) -> dict[str, int]:
-        """Return the requests of all entries but one source's."""
+        """Return the requests in flight of all entries except one source, by server ID."""
         self._expire()
         total = self._other_counts + self.own
         if source in self._sources:
--- a/toucanhold/gateway/sharing.py
+++ b/toucanhold/gateway/sharing.py
@@ -1,4 +1,4 @@
-"""How entries of unequal size share the callers, and the bounds that they keep together."""
+"""Divides callers and common limits among entries according to their size."""
 
 from __future__ import annotations
 
@@ -8,23 +8,24 @@
 
 from toucanhold.gateway import entries
 
-# A request takes about 7 ms of a usual core; with half of one it waits for as much again
-# at every turn; the same requests at entries four times as large are also counted together, and
-# choose servers with better knowledge. So the weight grows faster than the size.
+# A request takes about 7 ms of a reference core; with half a core it waits for as long again
+# whenever it is scheduled. Requests at an entry four times as large are also counted together, so
+# that their servers are chosen with more accurate load data. The weight therefore grows faster than
+# the size.
 WEIGHT_EXPONENT = 2
-# However few large entries there are, callers get so many addresses to turn to.
+# Callers get at least this many addresses, even if there are fewer large entries.
 MIN_ADVERTISED = 3
-# The small entries that are advertised change this often; callers leave those that no longer are.
+# Period after which other small entries are advertised; callers leave those that no longer are.
 ROTATION_PERIOD_S = 10.0
 
 
 def weight(entry: entries.Entry) -> float:
-    """Return what part of the work an entry should have, against that of others."""
+    """Return the relative weight by which an entry is assigned work."""
     return max(entry.cores, 0.01) ** WEIGHT_EXPONENT
 
 
 def share(own: entries.Entry, others: collections.abc.Iterable[entries.Entry]) -> float:
-    """Return this entry's part of all callers, and so of the bounds on all entries together."""
+    """Return this entry's share of all callers and of common limits, from 0 to 1."""
     own_weight = weight(own)
     return own_weight / (own_weight + sum(weight(entry) for entry in others))
 
@@ -32,13 +33,14 @@
 def quota(
     total: float, key: str, own: entries.Entry, others: collections.abc.Iterable[entries.Entry]
 ) -> int:
-    """Return this entry's whole units of a bound; those of all entries sum up to it at most.
+    """Return this entry's integer quota of a limit; all quotas together do not exceed the limit.
 
-    Parts in proportion would be below one at hundreds of entries, and nobody could use the bound.
-    So what is left of whole parts goes to some entries by rendezvous hashing.
+    With hundreds of entries, proportional shares would be below one, and no entry could use the
+    limit. The units that remain after rounding down are therefore assigned to some entries by
+    rendezvous hashing.
 
-    :param total: units that all entries may use
-    :param key: what the bound is on
+    :param total: limit on all entries together
+    :param key: what the limit applies to, such as a server ID
     """
     all_entries = [own, *others]
     total_weight = sum(map(weight, all_entries))
@@ -57,9 +59,12 @@
 
 
 def near_zone(serving: collections.abc.Sequence[entries.Entry], zone: str) -> list[entries.Entry]:
-    """Return the entries of a caller's zone, and where they are few some others.
+    """Return the entries in a caller's zone, with some of other zones if they are few.
 
-    Callers in their own zone cost no bytes between zones, and go on while it is cut off.
+    Callers that stay in their zone cause no traffic between zones, and are still served if the zone
+    is partitioned from the others.
+
+    :return: at least ``MIN_ADVERTISED`` entries, unless fewer exist; all if the zone has none
     """
     own = [entry for entry in serving if entry.zone == zone]
     if not own:
@@ -74,9 +79,10 @@
 def advertised(
     serving: collections.abc.Sequence[entries.Entry], caller_zone: str, now_s: float
 ) -> list[entries.Entry]:
-    """Return the entries to advertise to the callers of a zone: the largest and some others.
+    """Return the entries to advertise to callers in a zone: the largest and a rotating selection.
 
-    :param now_s: seconds of a clock that other entries need not share
+    :param now_s: wall clock time in seconds; it need not agree with other entries' clocks
+    :return: at least ``MIN_ADVERTISED`` entries, unless fewer exist
     """
     if not serving:
         return []
@@ -94,7 +100,7 @@
 
 
 def _rotation_draw(entry: entries.Entry, caller_zone: str, slot: int) -> float:
-    """Return a number from 0 to 1 that stays the same for a while."""
+    """Return a pseudorandom number from 0 to 1 that is constant within a rotation period."""
     text = f"{entry.entry}/{caller_zone}/{slot}".encode()
     digest = hashlib.blake2b(text, digest_size=4).digest()
     return int.from_bytes(digest) / 2**32
--- a/toucanhold/gateway/silence.py
+++ b/toucanhold/gateway/silence.py
@@ -1,4 +1,4 @@
-"""Noticing heads whose streams have all fallen silent."""
+"""Detects heads whose streams have all stopped sending events."""
 
 from __future__ import annotations
 
@@ -13,28 +13,29 @@
 from toucanhold.gateway import health
 
 CHECK_INTERVAL_S = 0.02
-# Streams of sound heads pause for less, whatever the engine, unless long prompts are read between
-# their steps.
+# Streams of healthy heads pause for less with every engine, unless long prompts are prefilled
+# between their steps.
 STARTED_SILENCE_S = 0.2
-# What the way to the entry may add to the longest pause of a sound head.
+# Network delay between a head and the entry, on top of a healthy head's longest pause.
 TRANSIT_DELAY_S = 0.03
-# Groups that span domains, and slow servers, pause for longer between events. A head is silent
-# only after several of its own usual pauses; else every long prompt before it would move all its
-# streams, and with them the load that made it slow.
+# Groups that span domains and slow servers pause for longer between events. A head is considered
+# silent only after this multiple of its own mean pause. Otherwise every long prompt at a head would
+# move all its streams, and with them the load that made it slow.
 MEAN_PAUSE_FACTOR = 4.0
-# Callers leave a stream after about twice this, also where an engine tells of longer pauses.
+# Callers abandon a stream after about twice this, even if the engine's figures allow longer pauses.
 MAX_STARTED_SILENCE_S = 1.0
-# Weight of the newest pause in what is usual: some ten events, about half a second of one stream.
+# Weight of the newest pause in the moving average, which covers about ten events, or half a second
+# of one stream.
 EWMA_WEIGHT = 0.1
-# Before the first event a request may also wait for its turn at the server.
+# Before its first event, a request may also be queued at the server.
 FIRST_EVENT_SILENCE_S = 0.7
-# What is enough once another entry has found the server silent. With sixty entries most have one
-# stream or none at a head, not yet begun.
+# Silence that is sufficient after another entry has reported the server. With sixty entries, most
+# have at most one stream at a head, and it has not started yet.
 CONFIRMED_SILENCE_S = 0.15
-# The same for heads that may pause for longer, as a part of their longest pause: with less, two
-# entries that mistake one long pause for silence would confirm each other.
+# The same for heads with longer pauses, as a fraction of their longest pause. With a smaller
+# fraction, two entries that mistake one long pause for silence would confirm each other.
 CONFIRMED_PAUSE_FRACTION = 0.7
-# How long another entry's word counts, and the server is passed over for it.
+# Time for which another entry's report is valid and the reported server is avoided.
 CONFIRMATION_VALIDITY_S = 1.0
 
 LOGGER = logging.getLogger(__name__)
@@ -42,7 +43,7 @@
 
 @attrs.define
 class _PauseEstimate:
-    """The usual time between two events of a stream at one server."""
+    """Moving average of the pauses between events of all streams at one server."""
 
     mean_s: float = STARTED_SILENCE_S / MEAN_PAUSE_FACTOR
 
@@ -56,11 +57,14 @@
 
 @attrs.define(eq=False)
 class WatchedStream:
-    """One stream at one server.
-
-    :ivar may_fail_over: tells whether another server could go on with the stream now
-    :ivar longest_pause_s: between two events of a sound head that reads long prompts meanwhile
-    :ivar scope: cancelled when the server has fallen silent
+    """A stream from a server, monitored for silence.
+
+    :ivar may_fail_over: returns whether another server could continue the stream now
+    :ivar longest_pause_s: longest pause between two events of a healthy head that prefills long
+        prompts between them; 0 if unknown
+    :ivar scope: cancelled when the server is detected as silent
+    :ivar has_started: whether the server has sent anything
+    :ivar last_activity_s: trio clock time of the last data, or of the request before the first
     """
 
     server_id: str
@@ -72,7 +76,7 @@
     _pause_estimate: _PauseEstimate | None = None
 
     def record_event(self) -> None:
-        """Take note that the server sent something."""
+        """Record that the server has sent data."""
         now_s = trio.current_time()
         if self.has_started and self._pause_estimate is not None:
             self._pause_estimate.record(now_s - self.last_activity_s)
@@ -80,21 +84,22 @@
         self.last_activity_s = now_s
 
     def set_pause_estimate(self, pause_estimate: _PauseEstimate) -> None:
-        """Let the stream's pauses count towards what is usual at its server."""
+        """Set the estimate of the server to which this stream's pauses are added."""
         self._pause_estimate = pause_estimate
 
 
 @attrs.define(eq=False)
 class SilenceDetector:
-    """Watches all streams of this entry.
+    """Monitors all streams of this entry.
 
-    A group that has lost a member goes on accepting requests, and nothing moves. Its registration
-    tells so seconds later; its streams tell it within a third of a second, for free.
+    A group that has lost a member still accepts requests but makes no progress. Its registration
+    shows this only seconds later. Its streams show it within a third of a second, at no cost.
 
-    A sound head must not be taken for silent: its streams begin anew on the other heads, which
-    read their prompts once more, pause for longer themselves, and are taken for silent next.
+    False positives cascade: the streams of a healthy head that is considered silent restart on
+    other heads, which prefill the prompts again, pause for longer themselves, and are considered
+    silent next.
 
-    :ivar on_silent: told the server's name
+    :ivar on_silent: called with the ID of a server that has fallen silent
     """
 
     health: health.Health
@@ -107,7 +112,7 @@
     )
 
     def add(self, stream: WatchedStream) -> None:
-        """Watch a stream."""
+        """Start monitoring a stream."""
         stream.set_pause_estimate(
             self._pause_estimates.setdefault(stream.server_id, _PauseEstimate())
         )
@@ -115,16 +120,18 @@
         self._stream_added.set()
 
     def remove(self, stream: WatchedStream) -> None:
-        """Watch a stream no more."""
+        """Stop monitoring a stream."""
         streams = self._streams[stream.server_id]
         streams.remove(stream)
         if not streams:
             del self._streams[stream.server_id]
 
     def confirm(self, server_id: str, entry: str) -> bool:
-        """Take in that another entry found a server silent.
+        """Process another entry's report that a server is silent.
 
-        :return: whether it is believed: streams here may show otherwise
+        :param entry: name of the reporting entry
+        :return: False if this entry has received events from the server recently, so that the
+            report is ignored
         """
         now_s = trio.current_time()
         streams = self._streams.get(server_id, ())
@@ -139,7 +146,7 @@
         return True
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Check all streams every ``CHECK_INTERVAL_S`` until cancelled."""
         previous_check_s = trio.current_time()
         while True:
             if not self._streams:
@@ -148,7 +155,7 @@
                 previous_check_s = trio.current_time()
             await trio.sleep(CHECK_INTERVAL_S)
             now_s = trio.current_time()
-            # After a pause of this process, what servers sent meanwhile is still unread.
+            # After a pause of this process, events that servers sent meanwhile are not read yet.
             if now_s - previous_check_s < 3 * CHECK_INTERVAL_S:
                 self._check_streams(now_s)
             previous_check_s = now_s
@@ -182,7 +189,7 @@
             self._confirmed_until_s.pop(server_id, None)
             self.on_silent(server_id)
         for stream in streams:
-            # A stream that nobody else can go on with is better left: the head may yet speak.
+            # A stream that no other server can continue stays open, as the head may still recover.
             if stream.may_fail_over():
                 stream.scope.cancel()
 
--- a/toucanhold/gateway/targets.py
+++ b/toucanhold/gateway/targets.py
@@ -1,4 +1,4 @@
-"""Which backend servers may get a request, and which of them should."""
+"""Selects the backend server that a request is sent to."""
 
 from __future__ import annotations
 
@@ -14,21 +14,24 @@
 from toucanhold.replicas import records
 from toucanhold.routes import table
 
-# What a server in another availability zone must be emptier by, as a part of its slots: bytes
-# between zones are dear, and a millisecond each way is not.
+# Load added to servers in other availability zones, as a fraction of their slots. Traffic between
+# zones is expensive; the additional millisecond each way is not.
 OTHER_ZONE_PENALTY_FRACTION = 0.25
-# What a share of failures weighs, in requests: a server that fails two in five gets work only
-# when the others have four requests more.
+# Load added to a server with a failure rate of 1, and in proportion below. A server that fails two
+# in five requests is chosen only if the others have four more requests in flight.
 FAILURE_PENALTY_REQUESTS = 10.0
 
 
 @attrs.define(eq=False)
 class ServerSelector:
-    """The servers of a service that serve now.
+    """Selects servers by load, failure rate and availability zone.
 
+    :ivar known: registered backend servers
+    :ivar group_registry: groups of backend servers, whose heads serve models
+    :ivar cold: limits requests to servers that have just started
+    :ivar closed_zones: availability zones whose servers get no requests
     :ivar zone: this entry's availability zone
-    :ivar closed_zones: zones that get no work
-    :ivar placed: requests placed, by whether the server is in another zone
+    :ivar placed: number of requests placed, by whether the server is in another zone
     """
 
     known: registry.Registry
@@ -40,19 +43,23 @@
     zone: str
     rng: random.Random
     placed: collections.Counter[bool] = attrs.field(factory=collections.Counter, init=False)
-    # To go through all members of all groups anew for each request took most of a choice's time.
+    # Cached by service and model, because checking all members of all groups for each request took
+    # most of the time of a selection.
     _candidates: dict[tuple[str, str], list[servers.Server]] = attrs.field(factory=dict, init=False)
     _candidates_version: tuple[int, int] = attrs.field(default=(-1, -1), init=False)
 
     def record_placement(self, server: servers.Server) -> None:
-        """Count a request that a server gets."""
+        """Count a request that is placed on a server."""
         self.loads.add(server.server_id)
         self.placed[server.zone != self.zone] += 1
         if server.cold_until_s > trio.current_time():
             self.cold.record_request(server.server_id)
 
     def find_candidates(self, service: table.Service, model: str) -> list[servers.Server]:
-        """Return the servers that may get a request now, with room or without."""
+        """Return the servers that serve a model now, whether or not they have capacity.
+
+        :param model: ignored for services without models
+        """
         version = self.known.version, self.group_registry.version
         if version != self._candidates_version:
             self._candidates_version = version
@@ -68,12 +75,17 @@
         candidates: list[servers.Server],
         excluded: collections.abc.Set[str],
     ) -> servers.Server | None:
-        """Return the best server with room, or None."""
+        """Return the best server with capacity, or None.
+
+        :param candidates: servers to choose from
+        :param excluded: IDs of servers to use only if there are no others
+        """
         allowed = [
             server for server in candidates if server.server_id not in excluded
         ] or candidates
         healthy = [server for server in allowed if not self.health.is_avoided(server.server_id)]
-        # Of those that failed just now one may be sound; those that failed again are not.
+        # If all are avoided, one that has failed once may still be healthy; one that has failed
+        # repeatedly is not.
         fallback = [
             server for server in allowed if not self.health.has_failed_repeatedly(server.server_id)
         ]
@@ -87,7 +99,7 @@
         )
 
     def is_group_forming(self, service: table.Service, model: str) -> bool:
-        """Tell whether a group of the model is being formed."""
+        """Return whether a group that serves the model exists or is being formed."""
         if service.engine is None:
             return False
         return any(
