--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Load and findings between entries: sites of hundreds, in several availability zones."""
+"""Tests of the exchange between entries in several availability zones."""
 
 import collections
 import random
@@ -13,12 +13,12 @@
 from tests.platform import standins
 from toucanhold.gateway import crashes, entries, exchange, health, load, notices, silence
 
-LIMIT_S = 5
+TIMEOUT_S = 5
 
 
 @attrs.define(eq=False, slots=False)
-class Side:
-    """One entry's half of the exchange."""
+class Node:
+    """An entry with the components that take part in the exchange."""
 
     name: str
     zone: str = "a"
@@ -48,110 +48,112 @@
 
 
 def new_site(zones, entries_a_zone):
-    """Return sides that know each other; the first two of each zone are the largest."""
-    sides = [
-        Side(f"{zone}{n}", zone, 3.0 - n if n < 2 else 0.5)
+    """Return nodes that list each other; the first two of each zone are the largest."""
+    nodes = [
+        Node(f"{zone}{n}", zone, 3.0 - n if n < 2 else 0.5)
         for zone in zones
         for n in range(entries_a_zone)
     ]
-    for side in sides:
-        side.entry_list.known += [each.entry_list.own for each in sides if each is not side]
-    return sides
+    for node in nodes:
+        node.entry_list.known += [other.entry_list.own for other in nodes if other is not node]
+    return nodes
 
 
-async def until(condition):
-    with trio.fail_after(LIMIT_S):
+async def wait_until(condition):
+    with trio.fail_after(TIMEOUT_S):
         while not condition():
             await trio.sleep(0.01)
 
 
 class ExchangeTest(unittest.TestCase):
-    def test_two_entries_share_load_findings_and_lost_connections(self):
+    def test_two_entries_share_load_silent_servers_and_crash_counts(self):
         trio.run(self._exchange)
 
     async def _exchange(self):
-        one, two = new_site("a", 2)
-        one.loads.add("s1")
-        two.exchange.report_silent("s9")
+        first, second = new_site("a", 2)
+        first.loads.add("s1")
+        second.exchange.report_silent("s9")
         for _ in range(crashes.CRASH_THRESHOLD):
-            one.crashes.record_crash("mark")
+            first.crashes.record_crash("mark")
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(one.run)
-            nursery.start_soon(two.run)
-            await until(lambda: two.loads.estimate("s1"))
-            await until(lambda: one.silent)
+            nursery.start_soon(first.run)
+            nursery.start_soon(second.run)
+            await wait_until(lambda: second.loads.estimate("s1"))
+            await wait_until(lambda: first.silent)
             nursery.cancel_scope.cancel()
-        self.assertTrue(one.health.is_avoided("s9"))
-        self.assertTrue(two.crashes.is_blocked("mark"))
+        self.assertTrue(first.health.is_avoided("s9"))
+        self.assertTrue(second.crashes.is_blocked("mark"))
 
-    def test_every_entry_learns_the_total_of_all_zones(self):
-        """Guards against heads that entries of several zones fill at once."""
+    def test_every_entry_receives_the_total_of_all_zones(self):
+        """Guards against heads that entries in several zones overload at the same time."""
         trio.run(self._total)
 
     async def _total(self):
-        sides = new_site("abc", 5)
+        nodes = new_site("abc", 5)
         async with trio.open_nursery() as nursery:
-            for side in sides:
-                side.loads.add("s1")
-                nursery.start_soon(side.run)
-            await until(lambda: all(side.loads.estimate("s1") == 15 for side in sides))
-            for side in sides[1:]:
-                side.loads.remove("s1")
-            await until(lambda: all(side.loads.estimate("s1") == 1 for side in sides))
+            for node in nodes:
+                node.loads.add("s1")
+                nursery.start_soon(node.run)
+            await wait_until(lambda: all(node.loads.estimate("s1") == 15 for node in nodes))
+            for node in nodes[1:]:
+                node.loads.remove("s1")
+            await wait_until(lambda: all(node.loads.estimate("s1") == 1 for node in nodes))
             nursery.cancel_scope.cancel()
 
     def test_the_second_aggregator_takes_over_from_a_dead_one(self):
-        """Guards against a zone whose entries know nothing of each other once its hub is dead."""
+        """Guards against a zone whose entries lose each other's load when an aggregator dies."""
         trio.run(self._take_over)
 
     async def _take_over(self):
-        sides = new_site("ab", 5)
+        nodes = new_site("ab", 5)
         async with trio.open_nursery() as nursery:
-            for side in sides:
-                nursery.start_soon(side.run)
-            sides[3].loads.add("s1")
-            await until(lambda: all(side.loads.estimate("s1") for side in sides))
-            sides[0].scope.cancel()
-            left = sides[1:]
-            sides[3].loads.add("s1")
-            await until(lambda: all(side.loads.estimate("s1") == 2 for side in left))
-            self.assertTrue(sides[1].exchange.is_active_aggregator)
+            for node in nodes:
+                nursery.start_soon(node.run)
+            nodes[3].loads.add("s1")
+            await wait_until(lambda: all(node.loads.estimate("s1") for node in nodes))
+            nodes[0].scope.cancel()
+            remaining = nodes[1:]
+            nodes[3].loads.add("s1")
+            await wait_until(lambda: all(node.loads.estimate("s1") == 2 for node in remaining))
+            self.assertTrue(nodes[1].exchange.is_active_aggregator)
             nursery.cancel_scope.cancel()
 
-    def test_a_silent_server_is_told_to_all_zones_at_once(self):
-        """Guards against callers that wait at a dead head which another entry has found."""
-        trio.run(self._tell_everyone)
+    def test_a_silent_server_is_reported_to_all_zones_immediately(self):
+        """Guards against callers that wait for a dead head which another entry has detected."""
+        trio.run(self._report_to_all)
 
-    async def _tell_everyone(self):
-        sides = new_site("abc", 6)
+    async def _report_to_all(self):
+        nodes = new_site("abc", 6)
         async with trio.open_nursery() as nursery:
-            for side in sides:
-                nursery.start_soon(side.run)
-            await until(lambda: all(not each.exchange.is_active_aggregator for each in sides[1:6]))
+            for node in nodes:
+                nursery.start_soon(node.run)
+            await wait_until(
+                lambda: all(not node.exchange.is_active_aggregator for node in nodes[1:6])
+            )
             await trio.sleep(0.5)
-            sides[4].exchange.report_silent("s9")
-            await until(lambda: all(side.silent for side in sides if side is not sides[4]))
+            nodes[4].exchange.report_silent("s9")
+            await wait_until(lambda: all(node.silent for node in nodes if node is not nodes[4]))
             await trio.sleep(0.3)
             nursery.cancel_scope.cancel()
-        # Once each, however often it is repeated on the way.
-        self.assertEqual({1}, {len(side.silent) for side in sides if side is not sides[4]})
+        # Each entry acts on the report once, however often it is repeated.
+        self.assertEqual({1}, {len(node.silent) for node in nodes if node is not nodes[4]})
 
-    def test_bytes_of_others_harm_nobody(self):
-        """Guards against entries that end, or count wrong, after a datagram of someone else."""
-        trio.run(self._send_rubbish)
+    def test_invalid_datagrams_are_ignored(self):
+        """Guards against entries that exit or miscount because of a foreign or invalid datagram."""
+        trio.run(self._send_invalid)
 
-    async def _send_rubbish(self):
-        one, two = new_site("a", 2)
-        host, port = one.entry_list.own.exchange_address.split(":")
-        good = {
+    async def _send_invalid(self):
+        first, second = new_site("a", 2)
+        host, port = first.entry_list.own.exchange_address.split(":")
+        valid = {
             "kind": "report",
-            "entry": two.name,
+            "entry": second.name,
             "boot": "b1",
             "in_flight": {"s1": 2},
             "silent": {},
             "crashes": [],
         }
-        bad = [
+        invalid = [
             b"",
             b"\xc1",
             b"x" * 60_000,
@@ -160,52 +162,52 @@
                 (
                     [1],
                     {"entry": 4},
-                    good | {"in_flight": {"s1": -5}},
-                    good | {"entry": "unknown", "in_flight": {"s1": 7}},
-                    good | {"boot": "replaced", "in_flight": {"s1": 7}},
-                    good | {"kind": "later"},
+                    valid | {"in_flight": {"s1": -5}},
+                    valid | {"entry": "unknown", "in_flight": {"s1": 7}},
+                    valid | {"boot": "replaced", "in_flight": {"s1": 7}},
+                    valid | {"kind": "later"},
                 ),
             ),
         ]
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(one.run)
+            nursery.start_soon(first.run)
             await trio.sleep(0.05)
             with (
                 trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as socket,
                 self.assertLogs(exchange.LOGGER, "WARNING") as logs,
             ):
-                for data in [*bad, *bad, msgpack.packb(good)]:
+                for data in [*invalid, *invalid, msgpack.packb(valid)]:
                     await socket.sendto(data, (host, int(port)))
-                await until(lambda: one.loads.estimate("s1"))
-                self.assertEqual(2, one.loads.estimate("s1"))
+                await wait_until(lambda: first.loads.estimate("s1"))
+                self.assertEqual(2, first.loads.estimate("s1"))
             nursery.cancel_scope.cancel()
-        # One line each for what could not be read, an unknown entry and a replaced one.
+        # One line each for all undecodable datagrams, an unknown entry and an outdated boot ID.
         self.assertEqual(3, len(logs.output))
 
     @clocked.on_test_clock
-    async def test_datagrams_of_an_entry_do_not_grow_with_the_site(self):
-        """Guards against entries whose notices fill their links at hundreds of entries."""
-        chosen = collections.Counter()
+    async def test_datagrams_per_entry_do_not_grow_with_the_number_of_entries(self):
+        """Guards against notices that saturate the network with hundreds of entries."""
+        receiver_counts = collections.Counter()
         for zones, size in (("abc", 3), ("abcde", 39)):
-            known = [
+            entries_in_site = [
                 entries.Entry(f"{zone}{n}", zone, "r", "", f"{zone}{n}", "b")
                 for zone in zones
                 for n in range(size)
             ]
-            side = Side("own", "a", 0.1)
-            side.entry_list.known = known
-            chosen[size] = len(side.exchange.upstream())
-        self.assertEqual({3: 2, 39: 2}, chosen)
+            node = Node("own", "a", 0.1)
+            node.entry_list.known = entries_in_site
+            receiver_counts[size] = len(node.exchange.upstream())
+        self.assertEqual({3: 2, 39: 2}, receiver_counts)
 
     @clocked.on_test_clock
-    async def test_an_entry_whose_aggregators_are_silent_speaks_for_itself_alone(self):
-        """Guards against zones whose totals each entry replaces with its own counts."""
-        sides = new_site("a", 4)
+    async def test_an_entry_without_answering_aggregators_does_not_act_as_one(self):
+        """Guards against entries that replace their zone's totals with their own counts."""
+        nodes = new_site("a", 4)
         self.assertEqual(
-            [True, True, False, False], [side.exchange.is_active_aggregator for side in sides]
+            [True, True, False, False], [node.exchange.is_active_aggregator for node in nodes]
         )
 
-    def test_a_notice_of_very_many_servers_fits_a_datagram(self):
+    def test_a_notice_with_thousands_of_servers_fits_a_datagram(self):
         counts = {f"i-{n:016x}": n % 7 for n in range(5000)}
         notice = notices.Notice(notices.Kind.DIGEST, "e1", "b1", counts, {}, [])
         data = notices.encode(notice)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""What callers get of requests on routes, whatever happens to backend servers."""
+"""Tests of the responses that callers get while backend servers fail, stop or are overloaded."""
 
 import unittest
 
@@ -30,7 +30,7 @@
         self.assertEqual(7, scene.routes.table.version)
 
     @clocked.on_test_clock
-    async def test_key_that_was_taken_away_is_refused_at_once(self):
+    async def test_revoked_key_is_refused_immediately(self):
         scene = gateways.GatewayScene()
         private = attrs.evolve(gateways.LOOKUPS, is_public=False)
         keys = {"k1": table.Workspace("council", None)}
@@ -44,7 +44,7 @@
             self.assertIs(calls.RefusalReason.UNKNOWN_KEY, error.reason)
 
     @clocked.on_test_clock
-    async def test_without_a_configuration_callers_are_told_to_come_back(self):
+    async def test_without_a_configuration_callers_get_a_retry_delay(self):
         scene = gateways.GatewayScene()
         scene.routes.table = None
         _, error = await scene.ask(gateways.new_call("/lookups/1"))
@@ -52,10 +52,10 @@
         self.assertGreater(error.retry_after_s, 0)
 
 
-class OnceTest(unittest.TestCase):
+class NonIdempotentTest(unittest.TestCase):
     @clocked.on_test_clock
-    async def test_order_with_a_lost_answer_is_not_sent_again(self):
-        """Guards against an order that runs twice, or is said not to have run."""
+    async def test_order_with_a_lost_response_is_not_retried(self):
+        """Guards against an order that runs twice, or is wrongly reported as not run."""
         scene = gateways.GatewayScene()
         for name in scene.registered:
             scene.desk.behaviours[name].loses_answer = True
@@ -65,7 +65,7 @@
         self.assertTrue(error.may_have_run)
 
     @clocked.on_test_clock
-    async def test_order_that_a_server_has_not_run_goes_to_another(self):
+    async def test_order_that_a_server_has_not_run_is_retried_on_another(self):
         scene = gateways.GatewayScene()
         scene.desk.behaviours["b0"].refuses = True
         scene.desk.behaviours["b1"].refuses = True
@@ -75,22 +75,22 @@
         self.assertEqual([("b2", "call-1")], scene.desk.runs)
 
     @clocked.on_test_clock
-    async def test_order_that_waits_past_its_time_is_not_said_not_to_have_run(self):
-        """Guards against an untrue refusal at the route's timeout."""
+    async def test_order_that_times_out_is_reported_as_possibly_run(self):
+        """Guards against a false "not run" if the route's timeout expires during the work."""
         scene = gateways.GatewayScene()
         for name in scene.registered:
             scene.desk.behaviours[name].work_s = 10.0
         async with scene.running():
-            began_s = trio.current_time()
+            started_s = trio.current_time()
             _, error = await scene.ask(gateways.new_call("/orders/1"))
-            self.assertAlmostEqual(1.2, trio.current_time() - began_s, delta=0.01)
+            self.assertAlmostEqual(1.2, trio.current_time() - started_s, delta=0.01)
         self.assertTrue(error.may_have_run)
         self.assertIs(calls.RefusalReason.DEADLINE_EXCEEDED, error.reason)
 
 
 class LookupTest(unittest.TestCase):
     @clocked.on_test_clock
-    async def test_lookup_with_a_lost_answer_is_sent_to_another_server(self):
+    async def test_lookup_with_a_lost_response_is_retried_on_another_server(self):
         scene = gateways.GatewayScene(gateways.new_servers(2))
         scene.desk.behaviours["b0"].loses_answer = True
         scene.loads.add("b1")
@@ -99,8 +99,8 @@
         self.assertEqual((200, None), (reply.status, error))
 
     @clocked.on_test_clock
-    async def test_lookup_that_its_server_fails_is_sent_to_another(self):
-        """Guards against a failure passed on while another server could answer."""
+    async def test_lookup_with_a_server_error_is_retried_on_another_server(self):
+        """Guards against an error that is forwarded while another server could respond."""
         scene = gateways.GatewayScene(gateways.new_servers(2))
         scene.desk.behaviours["b0"].status = 500
         scene.loads.add("b1")
@@ -110,7 +110,7 @@
         self.assertEqual(["b0", "b1"], [name for name, _ in scene.desk.runs])
 
     @clocked.on_test_clock
-    async def test_failure_of_the_last_server_reaches_the_caller(self):
+    async def test_error_of_the_last_server_is_forwarded_to_the_caller(self):
         scene = gateways.GatewayScene()
         for name in scene.registered:
             scene.desk.behaviours[name].status = 500
@@ -122,7 +122,7 @@
         self.assertEqual(3, len(scene.desk.runs))
 
     @clocked.on_test_clock
-    async def test_no_more_servers_run_it_than_its_route_allows(self):
+    async def test_attempts_stay_within_the_routes_limit(self):
         scene = gateways.GatewayScene()
         for name in scene.registered:
             scene.desk.behaviours[name].loses_answer = True
@@ -133,7 +133,7 @@
 
     @clocked.on_test_clock
     async def test_retries_stay_within_their_budget(self):
-        """Guards against retries that double the load of a service that fails."""
+        """Guards against retries that double the load on a failing service."""
         scene = gateways.GatewayScene(retry_slack=10.0)
         for name in scene.registered:
             scene.desk.behaviours[name].loses_answer = True
@@ -143,7 +143,7 @@
         self.assertLessEqual(len(scene.desk.runs), 50 + 0.7 * (0.2 * 50 + 10))
 
     @clocked.on_test_clock
-    async def test_failing_server_gets_less_work(self):
+    async def test_failing_server_gets_fewer_requests(self):
         scene = gateways.GatewayScene()
         scene.desk.behaviours["b0"].status = 500
         async with scene.running():
@@ -155,26 +155,26 @@
 
 class StreamTest(unittest.TestCase):
     @clocked.on_test_clock
-    async def test_cut_stream_goes_on_at_another_server(self):
-        """Guards against events missing or doubled where a stream moves within one."""
+    async def test_interrupted_stream_resumes_on_another_server(self):
+        """Guards against lost or duplicate events if a stream is interrupted within an event."""
         scene = gateways.GatewayScene()
         for name in scene.registered:
             scene.desk.behaviours[name].cut_after = 4
         async with scene.running() as nursery:
-            nursery.start_soon(self._mend, scene)
+            nursery.start_soon(self._stop_interrupting, scene)
             reply, error = await scene.ask(gateways.new_call("/streams/1"))
         self.assertIsNone(error)
         self.assertEqual(list(range(1, 11)), reply.event_ids)
         self.assertTrue(reply.is_complete)
 
-    async def _mend(self, scene):
+    async def _stop_interrupting(self, scene):
         await trio.sleep(0.1)
         for behaviour in scene.desk.behaviours.values():
             behaviour.cut_after = None
 
     @clocked.on_test_clock
-    async def test_silent_stream_goes_on_at_another_server_within_its_pause(self):
-        """Guards against callers who wait at a head that sends nothing more."""
+    async def test_silent_stream_resumes_on_another_server_within_the_allowed_pause(self):
+        """Guards against callers that wait for a head which has stopped sending events."""
         scene = gateways.GatewayScene()
         async with scene.running() as nursery:
             nursery.start_soon(self._silence_after, scene, 3)
@@ -192,7 +192,7 @@
         scene.desk.behaviours[name].silent_after = events
 
     @clocked.on_test_clock
-    async def test_stream_that_cannot_go_on_does_not_look_complete(self):
+    async def test_stream_that_cannot_resume_is_not_marked_complete(self):
         scene = gateways.GatewayScene()
         for name in scene.registered:
             scene.desk.behaviours[name].cut_after = 2
@@ -203,7 +203,7 @@
         self.assertEqual([1, 2, 3, 4], reply.event_ids)
 
     @clocked.on_test_clock
-    async def test_caller_who_leaves_frees_the_server_at_once(self):
+    async def test_caller_that_disconnects_frees_the_server_immediately(self):
         scene = gateways.GatewayScene()
         async with scene.running():
             with trio.move_on_after(0.2):
@@ -215,8 +215,8 @@
 
 class CrashTest(unittest.TestCase):
     @clocked.on_test_clock
-    async def test_request_that_crashes_servers_is_refused_after_three(self):
-        """Guards against one request that takes server after server from others."""
+    async def test_request_is_refused_after_crashing_three_servers(self):
+        """Guards against a request whose retries crash one server after another."""
         scene = gateways.GatewayScene()
         for name in scene.registered:
             scene.desk.behaviours[name].loses_answer = True
@@ -230,7 +230,7 @@
 
 class AdmissionTest(unittest.TestCase):
     @clocked.on_test_clock
-    async def test_urgent_requests_go_first_when_there_is_room_again(self):
+    async def test_urgent_requests_go_first_when_capacity_returns(self):
         scene = gateways.GatewayScene(gateways.new_servers(1, slots=1))
         scene.desk.behaviours["b0"].events = 2
         async with scene.running() as nursery:
@@ -242,38 +242,38 @@
         self.assertEqual(["/lookups/first", "/streams/urgent", "/lookups/ordinary"], sent)
 
     @clocked.on_test_clock
-    async def test_under_overload_answers_come_in_time_or_not_at_all(self):
-        """Guards against a queue by arrival that makes every answer late."""
+    async def test_under_overload_responses_are_on_time_or_refused(self):
+        """Guards against a queue in arrival order that makes every response late."""
         scene = gateways.GatewayScene(gateways.new_servers(1, slots=1))
-        took_s = []
+        durations_s = []
 
         async def ask(number):
-            began_s = trio.current_time()
+            started_s = trio.current_time()
             call = gateways.new_call("/lookups/1", wait_s=1.2, call_id=str(number))
             reply, _ = await scene.ask(call)
             if reply.is_complete:
-                took_s.append(trio.current_time() - began_s)
+                durations_s.append(trio.current_time() - started_s)
 
         async with scene.running() as nursery:
             for number in range(330):
                 nursery.start_soon(ask, number)
                 await trio.sleep(0.015)
             await trio.sleep(1.5)
-        in_time = sum(each <= gateways.LOOKUPS.objective_s for each in took_s)
-        self.assertGreater(len(took_s), 140)
-        self.assertGreater(in_time / len(took_s), 0.8)
+        on_time = sum(duration_s <= gateways.LOOKUPS.objective_s for duration_s in durations_s)
+        self.assertGreater(len(durations_s), 140)
+        self.assertGreater(on_time / len(durations_s), 0.8)
 
     @clocked.on_test_clock
-    async def test_dead_server_is_tried_ever_less_often(self):
-        """Guards against a registered dead head that uses up the budget of retries."""
+    async def test_dead_server_is_tried_with_exponential_backoff(self):
+        """Guards against a dead head that stays registered and exhausts the retry budget."""
         scene = gateways.GatewayScene()
-        tries = []
+        attempts = []
         for number in range(300):
             if not scene.health.is_avoided("b0"):
-                tries.append(number)
+                attempts.append(number)
                 scene.health.avoid("b0", "no connection")
             await trio.sleep(0.1)
-        self.assertLessEqual(len(tries), 5)
+        self.assertLessEqual(len(attempts), 5)
         scene.health.record_outcome("b0", is_failure=False)
         await trio.sleep(13)
         scene.health.avoid("b0", "no connection")
@@ -281,20 +281,20 @@
         self.assertFalse(scene.health.is_avoided("b0"))
 
     @clocked.on_test_clock
-    async def test_closed_zone_gets_nothing_and_callers_hear_so_in_time(self):
+    async def test_closed_zone_gets_no_requests_and_callers_are_refused_promptly(self):
         scene = gateways.GatewayScene()
         scene.closed_zones.add("zone-a")
         async with scene.running():
-            began_s = trio.current_time()
+            started_s = trio.current_time()
             _, error = await scene.ask(gateways.new_call("/lookups/1"))
-            self.assertLess(trio.current_time() - began_s, 0.5)
+            self.assertLess(trio.current_time() - started_s, 0.5)
         self.assertEqual([], scene.desk.arrivals)
         self.assertFalse(error.may_have_run)
         self.assertGreater(error.retry_after_s, 0)
 
     @clocked.on_test_clock
-    async def test_cold_server_gets_no_more_than_it_bears(self):
-        """Guards against a server that falls over under twenty callers right after its start."""
+    async def test_cold_server_gets_no_more_requests_than_its_limit(self):
+        """Guards against a server that crashes under twenty callers right after its start."""
         cold = attrs.evolve(gateways.new_servers(1, slots=100)["b0"], cold_until_s=1e9)
         scene = gateways.GatewayScene({"b0": cold})
         async with scene.running() as nursery:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Load totals: one entry among hundreds that choose among the same servers at once."""
+"""Tests of load totals with hundreds of entries that select among the same servers."""
 
 import functools
 import timeit
@@ -36,8 +36,8 @@
         self.assertEqual([4, 0], [tracker.estimate("s1"), tracker.estimate("s2")])
 
     @clocked.on_test_clock
-    async def test_a_dead_entrys_requests_stop_counting(self):
-        """Guards against servers that look busy with requests of an entry that was killed."""
+    async def test_the_counts_of_a_dead_entry_expire(self):
+        """Guards against servers that appear busy with requests of a killed entry."""
 
         tracker = load.LoadTracker()
         tracker.update_source("e1", {"s1": 5}, 1.0)
@@ -48,7 +48,7 @@
         self.assertEqual(0, tracker.estimate("s1"))
 
     @clocked.on_test_clock
-    async def test_a_digest_leaves_its_receiver_out(self):
+    async def test_a_digest_excludes_the_counts_of_its_receiver(self):
         tracker = load.LoadTracker()
         tracker.update_source("e1", {"s1": 5, "s2": 1}, 1.0, is_local=True)
         tracker.update_source("zone b", {"s1": 2}, 1.0)
@@ -56,7 +56,7 @@
         self.assertEqual({"s1": 2, "s3": 1}, tracker.counts_without("e1"))
         self.assertEqual({"s1": 5, "s2": 1, "s3": 1}, tracker.local_counts())
 
-    def test_a_request_that_ends_twice_leaves_no_debt(self):
+    def test_removing_a_request_twice_does_not_make_counts_negative(self):
         tracker = load.LoadTracker()
         tracker.add("s1")
         tracker.remove("s1")
@@ -66,7 +66,7 @@
 
     @clocked.on_test_clock
     async def test_an_estimate_costs_the_same_among_hundreds_of_entries(self):
-        """Guards against choices whose time grows with the number of entries."""
+        """Guards against estimates whose time grows with the number of entries."""
 
         seconds = []
         for sources in (6, 194):
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,7 +1,6 @@
-"""Callers and common bounds, shared among entries of unequal size.
+"""Tests of how entries of unequal size share callers and common limits.
 
-The pattern: fifty-two entries with half a core beside eight with four times as much, as large sites
-have them.
+Large sites have 52 entries with half a core beside eight with four times as much.
 """
 
 import collections
@@ -23,22 +22,26 @@
 
 
 class SharingTest(unittest.TestCase):
-    def test_parts_of_all_entries_make_a_whole(self):
-        known = new_entries(8, 52)
-        parts = [sharing.share(own, [each for each in known if each != own]) for own in known]
+    def test_shares_of_all_entries_add_up_to_one(self):
+        all_entries = new_entries(8, 52)
+        parts = [
+            sharing.share(own, [each for each in all_entries if each != own]) for own in all_entries
+        ]
         self.assertAlmostEqual(1.0, sum(parts))
         self.assertGreater(parts[0], 10 * parts[-1])
 
-    def test_equal_entries_are_all_named(self):
-        known = new_entries(7, 0)
-        self.assertEqual(known, sorted(sharing.advertised(known, "z0", 0.0), key=known.index))
+    def test_equal_entries_are_all_advertised(self):
+        all_entries = new_entries(7, 0)
+        self.assertEqual(
+            all_entries, sorted(sharing.advertised(all_entries, "z0", 0.0), key=all_entries.index)
+        )
 
-    def test_callers_go_to_entries_by_their_weight(self):
-        known = new_entries(8, 52)
+    def test_callers_are_distributed_by_weight(self):
+        all_entries = new_entries(8, 52)
         counts = collections.Counter()
         for slot in range(400):
             for zone in ("z0", "z1", "z2", "z3"):
-                names = sharing.advertised(known, zone, slot * sharing.ROTATION_PERIOD_S)
+                names = sharing.advertised(all_entries, zone, slot * sharing.ROTATION_PERIOD_S)
                 for entry in names:
                     counts[entry.entry] += 1 / len(names)
         total = sum(counts.values())
@@ -46,33 +49,33 @@
         self.assertAlmostEqual(0.73, at_large, delta=0.05)
         self.assertEqual(60, len(counts))
 
-    def test_an_answer_holds_for_a_while(self):
-        known = new_entries(8, 52)
-        first = {entry.entry for entry in sharing.advertised(known, "z0", 20.0)}
-        again = {entry.entry for entry in sharing.advertised(known[::-1], "z0", 29.9)}
+    def test_advertised_entries_are_stable_within_a_rotation_period(self):
+        all_entries = new_entries(8, 52)
+        first = {entry.entry for entry in sharing.advertised(all_entries, "z0", 20.0)}
+        again = {entry.entry for entry in sharing.advertised(all_entries[::-1], "z0", 29.9)}
         self.assertEqual(first, again)
 
     def test_small_entries_serve_when_the_large_ones_are_gone(self):
-        known = new_entries(0, 52)
-        self.assertEqual(52, len(sharing.advertised(known, "z0", 0.0)))
+        all_entries = new_entries(0, 52)
+        self.assertEqual(52, len(sharing.advertised(all_entries, "z0", 0.0)))
         self.assertEqual(3, len(sharing.advertised(new_entries(1, 40)[:4], "z0", 0.0)[:3]))
         self.assertEqual([], sharing.advertised([], "z0", 0.0))
 
     def test_callers_stay_in_their_zone(self):
-        """Guards against answers that cross zones, and callers lost when a zone is cut off."""
-        known = new_entries(8, 52)
-        self.assertEqual({"z1"}, {entry.zone for entry in sharing.near_zone(known, "z1")})
-
-    def test_a_zone_with_few_entries_gets_some_of_others(self):
-        """Guards against callers whose only addresses are two entries that were killed."""
-        known = new_entries(7, 0)
-        found = sharing.near_zone(known, "z3")
+        """Guards against traffic between zones, and callers not served if a zone is partitioned."""
+        all_entries = new_entries(8, 52)
+        self.assertEqual({"z1"}, {entry.zone for entry in sharing.near_zone(all_entries, "z1")})
+
+    def test_a_zone_with_few_entries_gets_entries_of_other_zones(self):
+        """Guards against callers whose only addresses belong to two killed entries."""
+        all_entries = new_entries(7, 0)
+        found = sharing.near_zone(all_entries, "z3")
         self.assertEqual("z3", found[0].zone)
         self.assertEqual(3, len({entry.entry for entry in found}))
 
-    def test_a_zone_without_entries_gets_all_others(self):
-        known = new_entries(7, 0)
-        self.assertEqual(known, sharing.near_zone(known, "elsewhere"))
+    def test_a_zone_without_entries_gets_all_entries(self):
+        all_entries = new_entries(7, 0)
+        self.assertEqual(all_entries, sharing.near_zone(all_entries, "elsewhere"))
         self.assertEqual([], sharing.near_zone([], "z1"))
 
 
@@ -84,13 +87,13 @@
 
 
 class ColdBudgetTest(unittest.TestCase):
-    """Cold servers bear some requests a second, from hundreds of entries together."""
+    """A cold server tolerates few requests per second from hundreds of entries together."""
 
-    def _sent(self, known, server):
-        """Return how many requests each entry may send within a second."""
+    def _sent(self, all_entries, server):
+        """Return how many requests each entry may send to a server within a second."""
         counts = []
-        for own in known:
-            entry_list = gateways.FixedList(own, [each for each in known if each is not own])
+        for own in all_entries:
+            entry_list = gateways.FixedList(own, [each for each in all_entries if each is not own])
             cold = budget.ColdBudget(1.5, 5, entry_list)
             sent = 0
             while cold.may_send(server, 17.0):
@@ -99,30 +102,32 @@
             counts.append(sent)
         return counts
 
-    def _bounds(self):
+    def _counts_by_site(self):
         for count, zones in ((7, 3), (76, 3), (195, 5), (390, 11)):
-            known = new_zones(count, zones)
+            all_entries = new_zones(count, zones)
             for number in range(5):
-                yield self._sent(known, servers.Server(f"s{number}", 1, "desk", "a", "z1"))
+                yield self._sent(all_entries, servers.Server(f"s{number}", 1, "desk", "a", "z1"))
 
     @clocked.on_test_clock
-    async def test_all_entries_together_keep_the_bound_and_use_it(self):
-        """Guards against cold servers that crash, and against ones that get no request at all."""
-        for counts in self._bounds():
+    async def test_all_entries_together_stay_within_the_limit_and_use_it(self):
+        """Guards against cold servers that crash, and against ones that get no requests."""
+        for counts in self._counts_by_site():
             self.assertLessEqual(sum(counts), 17.0 * 1.5 + 5)
             self.assertGreaterEqual(sum(counts), 20)
 
     @clocked.on_test_clock
-    async def test_a_share_that_is_rounded_up_breaks_the_bound(self):
+    async def test_quotas_that_are_rounded_up_exceed_the_limit(self):
         def rounded_up(total, key, own, others):
             return max(1, round(total * sharing.share(own, others)))
 
         with mock.patch.object(sharing, "quota", rounded_up):
-            broken = [counts for counts in self._bounds() if sum(counts) > 17.0 * 1.5 + 5]
-        self.assertTrue(broken)
+            exceeding = [
+                counts for counts in self._counts_by_site() if sum(counts) > 17.0 * 1.5 + 5
+            ]
+        self.assertTrue(exceeding)
 
     @clocked.on_test_clock
-    async def test_a_zone_without_entries_is_served_by_all_others(self):
-        known = new_zones(7, 3)
-        counts = self._sent(known, servers.Server("s1", 1, "desk", "a", "elsewhere"))
+    async def test_a_zone_without_entries_is_served_by_all_entries(self):
+        all_entries = new_zones(7, 3)
+        counts = self._sent(all_entries, servers.Server("s1", 1, "desk", "a", "elsewhere"))
         self.assertEqual(21, sum(counts))
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Finding silent servers from what streams tell, here and at other entries."""
+"""Tests of the detection of silent servers from the streams of this and other entries."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class SilenceTest(unittest.TestCase):
-    """Groups have streams at many entries; one entry's may say more than another's."""
+    """A group has streams at many entries, some of which have more evidence than others."""
 
     async def _start_detector(self, nursery, longest_pause_s=0.0):
         self.health = health.Health()
@@ -22,8 +22,8 @@
         return detector, stream
 
     @clocked.on_test_clock
-    async def test_a_request_that_has_not_begun_is_moved_on_another_entrys_word(self):
-        """Guards against a request that waits 0.7 s at a head which another entry found silent."""
+    async def test_a_request_that_has_not_started_is_moved_on_another_entrys_report(self):
+        """Guards against a wait of 0.7 s for a head that another entry has reported as silent."""
         async with trio.open_nursery() as nursery:
             detector, stream = await self._start_detector(nursery)
             await trio.sleep(0.2)
@@ -32,13 +32,13 @@
             await trio.sleep(0.1)
             self.assertTrue(stream.scope.cancel_called)
             self.assertTrue(self.health.is_avoided("s1"))
-            # What was heard is not told again: sixty entries would all tell each other.
+            # Received reports are not reported again: sixty entries would notify each other.
             self.assertEqual([], self.silent)
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
-    async def test_streams_that_go_on_speak_against_another_entrys_word(self):
-        """Another entry is cut off, and takes the heads that it cannot hear for silent."""
+    async def test_active_streams_override_another_entrys_report(self):
+        """Guards against an unreachable entry that reports all heads as silent to the others."""
         async with trio.open_nursery() as nursery:
             detector, stream = await self._start_detector(nursery)
             for _ in range(20):
@@ -50,8 +50,8 @@
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
-    async def test_a_head_that_reads_long_prompts_is_not_taken_for_silent(self):
-        """Guards against streams moved from sound heads, which slows the heads that get them."""
+    async def test_a_head_that_prefills_long_prompts_is_not_considered_silent(self):
+        """Guards against moving streams from healthy heads, which slows down the other heads."""
         async with trio.open_nursery() as nursery:
             _, stream = await self._start_detector(nursery, longest_pause_s=0.285)
             for _ in range(10):
@@ -68,8 +68,8 @@
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
-    async def test_two_entries_do_not_confirm_each_others_mistake(self):
-        """Guards against one mistake that another entry takes for proof."""
+    async def test_two_entries_do_not_confirm_each_others_false_positive(self):
+        """Guards against a false positive that another entry accepts as confirmation."""
         async with trio.open_nursery() as nursery:
             detector, stream = await self._start_detector(nursery, longest_pause_s=0.285)
             stream.record_event()
@@ -79,8 +79,8 @@
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
-    async def test_a_dead_head_is_found_whatever_its_engine_tells_of_pauses(self):
-        """Guards against wrong figures of an engine that hide a dead head."""
+    async def test_a_dead_head_is_detected_despite_wrong_engine_figures(self):
+        """Guards against an engine's wrong pause figures that hide a dead head."""
         async with trio.open_nursery() as nursery:
             _, stream = await self._start_detector(nursery, longest_pause_s=3.0)
             stream.record_event()
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -1,4 +1,4 @@
-"""Which heads may get a request: a site of ninety groups, of which one changes at a time."""
+"""Tests of the selection of heads at a site with ninety groups, one of which changes."""
 
 import random
 import unittest
@@ -31,65 +31,67 @@
 
 class HeadsTest(unittest.TestCase):
     def setUp(self):
-        self.copy = mirror.Mirror()
-        known = registry.Registry(self.copy, replicas.REGISTRATIONS_PREFIX, replicas.decode)
-        self.board = records.GroupBoard(self.copy)
-        self.closed = set()
+        self.mirror = mirror.Mirror()
+        server_registry = registry.Registry(
+            self.mirror, replicas.REGISTRATIONS_PREFIX, replicas.decode
+        )
+        self.group_registry = records.GroupBoard(self.mirror)
+        self.closed_zones = set()
         cold = budget.ColdBudget(1.5, 5, gateways.FixedList(gateways.new_entry("e1")))
         self.targets = targets.ServerSelector(
-            known,
-            self.board,
+            server_registry,
+            self.group_registry,
             load.LoadTracker(),
             health.Health(),
             cold,
-            self.closed,
+            self.closed_zones,
             "zone-a",
             random.Random(1),
         )
 
     def _put(self, *heads, revision):
-        before = self.copy.revision
+        before = self.mirror.revision
         items = tuple(new_item(head, revision) for head in heads)
-        self.copy.apply(mirror.Changes(before, revision, items))
+        self.mirror.apply(mirror.Changes(before, revision, items))
 
-    def _form(self, name, epoch):
+    def _add_group(self, name, epoch):
         record = records.GroupRecord(
             f"g-{name}", replicas.SERVICE, "large", (records.Member(name, 1),)
         )
-        self.board.put(records.Group(record, epoch, epoch))
+        self.group_registry.put(records.Group(record, epoch, epoch))
 
-    def _found(self):
+    def _candidate_ids(self):
         return [server.server_id for server in self.targets.find_candidates(SERVICE, "large")]
 
     @clocked.on_test_clock
-    async def test_changes_of_heads_groups_and_zones_are_seen_at_once(self):
-        """Guards against requests to heads that closed, left or are in a zone that is out."""
-        self.copy.replace(keyvalue.RangeResult(1, ()))
+    async def test_changes_of_heads_groups_and_zones_apply_immediately(self):
+        """Guards against requests to heads that closed, left or are in a closed zone."""
+        self.mirror.replace(keyvalue.RangeResult(1, ()))
         self._put(new_head("h1", 5), new_head("h2", 5, zone="zone-b"), revision=2)
-        self.assertEqual([], self._found())
-        self._form("h1", 5)
-        self._form("h2", 5)
-        self.assertEqual(["h1", "h2"], self._found())
-        self.closed.add("zone-b")
-        self.assertEqual(["h1"], self._found())
-        self.closed.clear()
+        self.assertEqual([], self._candidate_ids())
+        self._add_group("h1", 5)
+        self._add_group("h2", 5)
+        self.assertEqual(["h1", "h2"], self._candidate_ids())
+        self.closed_zones.add("zone-b")
+        self.assertEqual(["h1"], self._candidate_ids())
+        self.closed_zones.clear()
         self._put(new_head("h2", 5, servers.GroupState.CLOSING, "zone-b"), revision=3)
-        self.assertEqual(["h1"], self._found())
+        self.assertEqual(["h1"], self._candidate_ids())
         self._put(attrs.evolve(new_head("h1", 5), is_leaving=True), revision=4)
-        self.assertEqual([], self._found())
+        self.assertEqual([], self._candidate_ids())
         self._put(new_head("h1", 5), revision=5)
-        self.board.remove("g-h1")
-        self.assertEqual([], self._found())
+        self.group_registry.remove("g-h1")
+        self.assertEqual([], self._candidate_ids())
 
     @clocked.on_test_clock
-    async def test_a_choice_without_news_goes_through_no_members(self):
-        """Guards against choices that each check a thousand members of ninety groups."""
-        self.copy.replace(keyvalue.RangeResult(1, ()))
+    async def test_a_selection_without_changes_checks_no_members(self):
+        """Guards against selections that each check a thousand members of ninety groups."""
+        self.mirror.replace(keyvalue.RangeResult(1, ()))
         heads = [new_head(f"h{n}", 5) for n in range(90)]
         self._put(*heads, revision=2)
         for head in heads:
-            self._form(head.server_id, 5)
-        self.assertEqual(90, len(self._found()))
-        with mock.patch.object(records.Group, "is_open") as check:
-            self._found()
-        check.assert_not_called()
+            self._add_group(head.server_id, 5)
+        self.assertEqual(90, len(self._candidate_ids()))
+        with mock.patch.object(records.Group, "is_open") as is_open:
+            self._candidate_ids()
+        is_open.assert_not_called()
