--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -32,14 +32,14 @@
         self.health = health.Health()
         self.crashes = crashes.CrashTracker()
         self.silent = []
-        self.watch = silence.SilenceDetector(self.health, self.silent.append)
+        self.detector = silence.SilenceDetector(self.health, self.silent.append)
         self.exchange = exchange.Exchange(
             self.entry_list, self.loads, self.crashes, self._on_silent, random.Random(1)
         )
         self.scope = trio.CancelScope()
 
     def _on_silent(self, server_id, entry):
-        if self.watch.confirm(server_id, entry):
+        if self.detector.confirm(server_id, entry):
             self.silent.append(server_id)
 
     async def run(self):
@@ -47,12 +47,12 @@
             await self.exchange.run()
 
 
-def new_site(zones, entries_a_zone):
+def new_site(zones, entries_per_zone):
     """Return nodes that list each other; the first two of each zone are the largest."""
     nodes = [
         Node(f"{zone}{n}", zone, 3.0 - n if n < 2 else 0.5)
         for zone in zones
-        for n in range(entries_a_zone)
+        for n in range(entries_per_zone)
     ]
     for node in nodes:
         node.entry_list.known += [other.entry_list.own for other in nodes if other is not node]
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -25,7 +25,7 @@
     return [tracker.estimate(head) for head in HEADS]
 
 
-class LoadBoardTest(unittest.TestCase):
+class LoadTrackerTest(unittest.TestCase):
     @clocked.on_test_clock
     async def test_a_new_report_replaces_the_old_one(self):
         tracker = load.LoadTracker()
@@ -68,8 +68,10 @@
     async def test_an_estimate_costs_the_same_among_hundreds_of_entries(self):
         """Guards against estimates whose time grows with the number of entries."""
 
-        seconds = []
+        durations_s = []
         for sources in (6, 194):
             tracker = new_tracker(sources)
-            seconds.append(min(timeit.repeat(functools.partial(estimate_all, tracker), number=5)))
-        self.assertLess(seconds[1], 2 * seconds[0])
+            durations_s.append(
+                min(timeit.repeat(functools.partial(estimate_all, tracker), number=5))
+            )
+        self.assertLess(durations_s[1], 2 * durations_s[0])
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -24,11 +24,12 @@
 class SharingTest(unittest.TestCase):
     def test_shares_of_all_entries_add_up_to_one(self):
         all_entries = new_entries(8, 52)
-        parts = [
-            sharing.share(own, [each for each in all_entries if each != own]) for own in all_entries
+        shares = [
+            sharing.share(own, [entry for entry in all_entries if entry != own])
+            for own in all_entries
         ]
-        self.assertAlmostEqual(1.0, sum(parts))
-        self.assertGreater(parts[0], 10 * parts[-1])
+        self.assertAlmostEqual(1.0, sum(shares))
+        self.assertGreater(shares[0], 10 * shares[-1])
 
     def test_equal_entries_are_all_advertised(self):
         all_entries = new_entries(7, 0)
@@ -41,19 +42,21 @@
         counts = collections.Counter()
         for slot in range(400):
             for zone in ("z0", "z1", "z2", "z3"):
-                names = sharing.advertised(all_entries, zone, slot * sharing.ROTATION_PERIOD_S)
-                for entry in names:
-                    counts[entry.entry] += 1 / len(names)
+                advertised_entries = sharing.advertised(
+                    all_entries, zone, slot * sharing.ROTATION_PERIOD_S
+                )
+                for entry in advertised_entries:
+                    counts[entry.entry] += 1 / len(advertised_entries)
         total = sum(counts.values())
-        at_large = sum(counts[f"e{n}"] for n in range(8)) / total
-        self.assertAlmostEqual(0.73, at_large, delta=0.05)
+        share_at_large = sum(counts[f"e{n}"] for n in range(8)) / total
+        self.assertAlmostEqual(0.73, share_at_large, delta=0.05)
         self.assertEqual(60, len(counts))
 
     def test_advertised_entries_are_stable_within_a_rotation_period(self):
         all_entries = new_entries(8, 52)
         first = {entry.entry for entry in sharing.advertised(all_entries, "z0", 20.0)}
-        again = {entry.entry for entry in sharing.advertised(all_entries[::-1], "z0", 29.9)}
-        self.assertEqual(first, again)
+        second = {entry.entry for entry in sharing.advertised(all_entries[::-1], "z0", 29.9)}
+        self.assertEqual(first, second)
 
     def test_small_entries_serve_when_the_large_ones_are_gone(self):
         all_entries = new_entries(0, 52)
@@ -69,9 +72,9 @@
     def test_a_zone_with_few_entries_gets_entries_of_other_zones(self):
         """Guards against callers whose only addresses belong to two killed entries."""
         all_entries = new_entries(7, 0)
-        found = sharing.near_zone(all_entries, "z3")
-        self.assertEqual("z3", found[0].zone)
-        self.assertEqual(3, len({entry.entry for entry in found}))
+        nearby = sharing.near_zone(all_entries, "z3")
+        self.assertEqual("z3", nearby[0].zone)
+        self.assertEqual(3, len({entry.entry for entry in nearby}))
 
     def test_a_zone_without_entries_gets_all_entries(self):
         all_entries = new_entries(7, 0)
@@ -89,24 +92,28 @@
 class ColdBudgetTest(unittest.TestCase):
     """A cold server tolerates few requests per second from hundreds of entries together."""
 
-    def _sent(self, all_entries, server):
+    def _requests_sent(self, all_entries, server):
         """Return how many requests each entry may send to a server within a second."""
         counts = []
         for own in all_entries:
-            entry_list = gateways.FixedList(own, [each for each in all_entries if each is not own])
+            entry_list = gateways.FixedList(
+                own, [entry for entry in all_entries if entry is not own]
+            )
             cold = budget.ColdBudget(1.5, 5, entry_list)
-            sent = 0
+            sent_count = 0
             while cold.may_send(server, 17.0):
                 cold.record_request(server.server_id)
-                sent += 1
-            counts.append(sent)
+                sent_count += 1
+            counts.append(sent_count)
         return counts
 
     def _counts_by_site(self):
         for count, zones in ((7, 3), (76, 3), (195, 5), (390, 11)):
             all_entries = new_zones(count, zones)
             for number in range(5):
-                yield self._sent(all_entries, servers.Server(f"s{number}", 1, "desk", "a", "z1"))
+                yield self._requests_sent(
+                    all_entries, servers.Server(f"s{number}", 1, "desk", "a", "z1")
+                )
 
     @clocked.on_test_clock
     async def test_all_entries_together_stay_within_the_limit_and_use_it(self):
@@ -129,5 +136,5 @@
     @clocked.on_test_clock
     async def test_a_zone_without_entries_is_served_by_all_entries(self):
         all_entries = new_zones(7, 3)
-        counts = self._sent(all_entries, servers.Server("s1", 1, "desk", "a", "elsewhere"))
+        counts = self._requests_sent(all_entries, servers.Server("s1", 1, "desk", "a", "elsewhere"))
         self.assertEqual(21, sum(counts))
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -38,7 +38,7 @@
 
     @clocked.on_test_clock
     async def test_active_streams_override_another_entrys_report(self):
-        """Guards against an unreachable entry that reports all heads as silent to the others."""
+        """Guards against an isolated entry that reports all heads as silent to the others."""
         async with trio.open_nursery() as nursery:
             detector, stream = await self._start_detector(nursery)
             for _ in range(20):
