--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of the exchange between entries in several availability zones."""
+"""Tests of the exchange between up to hundreds of entries in several availability zones."""
 
 import collections
 import random
--- a/toucanhold/gateway/attempt.py
+++ b/toucanhold/gateway/attempt.py
@@ -79,8 +79,8 @@
 
     def record_lost_response(self) -> None:
         """Record that the last attempt's response was lost."""
-        nothing_came = self.last_event_id == self._event_id_before_attempt
-        if self.has_response_started and nothing_came:
+        got_no_events = self.last_event_id == self._event_id_before_attempt
+        if self.has_response_started and got_no_events:
             self.extra_attempts = 1
 
     def record_attempt(self, server_id: str) -> None:
--- a/toucanhold/gateway/hierarchy.py
+++ b/toucanhold/gateway/hierarchy.py
@@ -12,7 +12,7 @@
 # Streams that one entry serves within its availability zone. A zone of 16 entries needs one level;
 # at the size planned in two years, 36 entries per zone, there are two.
 MAX_FOLLOWERS_PER_ENTRY = 16
-# Fallback sources in other zones if those in the own zone are lost: zones fail independently.
+# Fallback sources in other zones if those in this zone are lost: zones fail independently.
 MAX_OTHER_ZONE_SOURCES = 3
 # The second aggregator of a zone takes over if the first does not answer.
 AGGREGATORS_PER_ZONE = 2
@@ -51,18 +51,18 @@
     :param planner: name of the planner; it ranks first in its zone, because it acts on the changes
     """
     zones = by_zone([own, *others], planner)
-    zone = zones[own.zone]
-    rank = zone.index(own)
+    zone_entries = zones[own.zone]
+    rank = zone_entries.index(own)
     if not rank:
         # One watch serves all zones, because each response of a watch is billed as a call.
         return [] if own.entry == planner else _planner_address(zones, planner)
-    chosen = [zone[(rank - 1) // MAX_FOLLOWERS_PER_ENTRY]]
-    if zone[0] not in chosen:
-        chosen.append(zone[0])
-    names = sorted(zones)
-    start = names.index(own.zone) + 1
-    for name in (names[start:] + names[: start - 1])[:MAX_OTHER_ZONE_SOURCES]:
-        chosen.append(zones[name][0])
+    chosen = [zone_entries[(rank - 1) // MAX_FOLLOWERS_PER_ENTRY]]
+    if zone_entries[0] not in chosen:
+        chosen.append(zone_entries[0])
+    zone_names = sorted(zones)
+    start = zone_names.index(own.zone) + 1
+    for zone in (zone_names[start:] + zone_names[: start - 1])[:MAX_OTHER_ZONE_SOURCES]:
+        chosen.append(zones[zone][0])
     return [entry.exchange_address for entry in chosen]
 
 
