--- a/tests/platform/test_platform_calls.py
+++ b/tests/platform/test_platform_calls.py
@@ -187,7 +187,7 @@
             outcome = await client.send(stopped_server, orders.Leave("g1", 1), 0, 1)
             self.assertIs(orders.OrderOutcome.UNREACHABLE, outcome)
             with self.assertRaises(calls.NotRunError) as caught:
-                forwarded = calls.Forwarded(gateways.new_call("/"), "", 1.0, None, False)
+                forwarded = calls.ForwardedCall(gateways.new_call("/"), "", 1.0, None, False)
                 async with client.exchange(stopped_server, forwarded):
                     pass
             self.assertTrue(caught.exception.is_gone)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -349,7 +349,7 @@
     def test_number_of_followers_per_entry_is_bounded(self):
         sources_by_address = self._sources(self._entries(390, 11))
         first = [sources[0] for sources in sources_by_address.values() if sources]
-        self.assertLessEqual(max(map(first.count, first)), hierarchy.FOLLOWERS)
+        self.assertLessEqual(max(map(first.count, first)), hierarchy.MAX_FOLLOWERS_PER_ENTRY)
 
     def test_planner_and_large_machines_watch(self):
         all_entries = self._entries(60, 4)
--- a/toucanhold/gateway/budget.py
+++ b/toucanhold/gateway/budget.py
@@ -1,4 +1,4 @@
-"""Bounds that all entries keep together, of which each uses its part."""
+"""Limits that all entries share; each entry enforces its own share of them."""
 
 from __future__ import annotations
 
@@ -11,27 +11,30 @@
 from toucanhold.gateway import entries, sharing
 from toucanhold.registry import servers
 
-BUCKETS = 10
-# The part of the bound that entries use: their counts begin and end at different moments, and
-# entries that come and go briefly change the parts.
-USED_PART = 0.7
+BUCKETS_PER_WINDOW = 10
+# Fraction of a limit that entries use. The rest is headroom, because the entries' windows are not
+# aligned and shares are briefly inconsistent while entries join or leave.
+USABLE_FRACTION = 0.7
 
 
 @attrs.define
-class _Window:
-    """Counts by moment over a sliding window."""
+class _SlidingWindow:
+    """Number of events in a sliding window, counted in buckets.
+
+    :ivar bucket_s: length of a bucket; a window has ``BUCKETS_PER_WINDOW``
+    """
 
     bucket_s: float
     _counts: collections.deque[list[float]] = attrs.field(factory=collections.deque)
 
     def add(self) -> None:
-        number = trio.current_time() // self.bucket_s
-        if not self._counts or self._counts[-1][0] != number:
-            self._counts.append([number, 0])
+        bucket = trio.current_time() // self.bucket_s
+        if not self._counts or self._counts[-1][0] != bucket:
+            self._counts.append([bucket, 0])
         self._counts[-1][1] += 1
 
     def total(self) -> float:
-        oldest = trio.current_time() // self.bucket_s - BUCKETS
+        oldest = trio.current_time() // self.bucket_s - BUCKETS_PER_WINDOW
         while self._counts and self._counts[0][0] < oldest:
             self._counts.popleft()
         return sum(count for _, count in self._counts)
@@ -39,7 +42,12 @@
 
 @attrs.frozen
 class RetryBound:
-    """Repeats that a service bears: a share of its requests, and some more."""
+    """Retries that a service tolerates over all entries.
+
+    :ivar ratio: retries allowed per request
+    :ivar slack: retries allowed in addition in each window
+    :ivar window_s: length of the window
+    """
 
     ratio: float
     slack: float
@@ -48,84 +56,88 @@
 
 @attrs.define(eq=False)
 class RetryBudget:
-    """This entry's part of the repeats to each service.
+    """Limits this entry's retries to its share of each service's retry limit.
 
-    :ivar share: returns this entry's part of all callers
+    :ivar share: returns this entry's share of all callers, from 0 to 1
     """
 
     bound: RetryBound
     share: collections.abc.Callable[[], float]
-    _requests: dict[str, _Window] = attrs.field(factory=dict, init=False)
-    _repeats: dict[str, _Window] = attrs.field(factory=dict, init=False)
+    _requests: dict[str, _SlidingWindow] = attrs.field(factory=dict, init=False)
+    _retries: dict[str, _SlidingWindow] = attrs.field(factory=dict, init=False)
 
-    def note_request(self, service: str) -> None:
-        """Count a caller's request."""
+    def record_request(self, service: str) -> None:
+        """Count a request from a caller."""
         self._window(self._requests, service).add()
 
-    def take(self, service: str) -> bool:
-        """Use one repeat, or tell that there is none left."""
-        if not self.is_left(service):
+    def try_acquire(self, service: str) -> bool:
+        """Consume one retry and return True, or return False if none is left."""
+        if not self.has_remaining(service):
             return False
-        self._window(self._repeats, service).add()
+        self._window(self._retries, service).add()
         return True
 
-    def is_left(self, service: str) -> bool:
-        """Tell whether a repeat is left."""
-        repeats = self._window(self._repeats, service).total()
+    def has_remaining(self, service: str) -> bool:
+        """Return whether a retry is left, without consuming it."""
+        retries = self._window(self._retries, service).total()
         requests = self._window(self._requests, service).total()
         slack = self.bound.slack * self.share()
-        return repeats + 1 <= USED_PART * (self.bound.ratio * requests + slack)
+        return retries + 1 <= USABLE_FRACTION * (self.bound.ratio * requests + slack)
 
-    def _window(self, windows: dict[str, _Window], service: str) -> _Window:
+    def _window(self, windows: dict[str, _SlidingWindow], service: str) -> _SlidingWindow:
         if service not in windows:
-            windows[service] = _Window(self.bound.window_s / BUCKETS)
+            windows[service] = _SlidingWindow(self.bound.window_s / BUCKETS_PER_WINDOW)
         return windows[service]
 
 
 @attrs.define(eq=False)
 class ColdBudget:
-    """This entry's part of the requests that cold servers bear in a second.
+    """Limits the requests per second that this entry sends to each cold server.
 
-    :ivar overage: factor on what a server says that it bears
-    :ivar slack: requests a second beyond that, over all entries
-    :ivar listed: the entries that share the bound
+    :ivar overage: factor on the rate that a cold server tolerates
+    :ivar slack: requests per second allowed in addition, over all entries
+    :ivar entry_list: entries that share the limit
     """
 
     overage: float
     slack: float
-    listed: entries.EntryList
+    entry_list: entries.EntryList
     _quotas: dict[tuple[str, float], int] = attrs.field(factory=dict, init=False)
     _version: int = attrs.field(default=-1, init=False)
-    _sent_s: dict[str, collections.deque[float]] = attrs.field(factory=dict, init=False)
+    _sent_times_s: dict[str, collections.deque[float]] = attrs.field(factory=dict, init=False)
+
+    def may_send(self, server: servers.Server, max_requests_per_s: float) -> bool:
+        """Return whether one more request may be sent to a cold server.
 
-    def may_send(self, server: servers.Server, bears_per_s: float) -> bool:
-        """Tell whether one more request may go to a cold server."""
-        total = USED_PART * (bears_per_s * self.overage + self.slack)
-        return len(self._recent(server.server_id)) < self._quota(server, total)
+        :param max_requests_per_s: rate that the server tolerates from all entries together
+        """
+        total = USABLE_FRACTION * (max_requests_per_s * self.overage + self.slack)
+        return len(self._recent_sends(server.server_id)) < self._quota(server, total)
 
-    def note(self, server_id: str) -> None:
-        """Count a request that is sent to a cold server."""
-        self._recent(server_id).append(trio.current_time())
+    def record_request(self, server_id: str) -> None:
+        """Count a request sent to a cold server."""
+        self._recent_sends(server_id).append(trio.current_time())
 
     def _quota(self, server: servers.Server, total: float) -> int:
-        if self._version != self.listed.version:
-            self._version = self.listed.version
+        if self._version != self.entry_list.version:
+            self._version = self.entry_list.version
             self._quotas.clear()
         key = server.server_id, total
         if key not in self._quotas:
-            self._quotas[key] = self._new_quota(server, total)
+            self._quotas[key] = self._compute_quota(server, total)
         return self._quotas[key]
 
-    def _new_quota(self, server: servers.Server, total: float) -> int:
-        # Most requests reach a server from entries of its zone.
-        own, others = self.listed.own, self.listed.others()
-        near = [entry for entry in others if entry.zone == server.zone]
+    def _compute_quota(self, server: servers.Server, total: float) -> int:
+        # Most requests reach a server from entries in its own zone, so only these share the limit;
+        # entries in other zones share it if the server's zone has none.
+        own, others = self.entry_list.own, self.entry_list.others()
+        zone_entries = [entry for entry in others if entry.zone == server.zone]
         if own.zone == server.zone:
-            return sharing.quota(total, server.server_id, own, near)
-        return 0 if near else sharing.quota(total, server.server_id, own, others)
-
-    def _recent(self, server_id: str) -> collections.deque[float]:
-        sent = self._sent_s.setdefault(server_id, collections.deque())
-        while sent and sent[0] < trio.current_time() - 1.0:
-            sent.popleft()
-        return sent
+            return sharing.quota(total, server.server_id, own, zone_entries)
+        return 0 if zone_entries else sharing.quota(total, server.server_id, own, others)
+
+    def _recent_sends(self, server_id: str) -> collections.deque[float]:
+        sent_times_s = self._sent_times_s.setdefault(server_id, collections.deque())
+        while sent_times_s and sent_times_s[0] < trio.current_time() - 1.0:
+            sent_times_s.popleft()
+        return sent_times_s
--- a/toucanhold/gateway/crashes.py
+++ b/toucanhold/gateway/crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash the backend servers that run them."""
+"""Detects requests that crash the backend servers that run them."""
 
 from __future__ import annotations
 
@@ -9,17 +9,20 @@
 
 from toucanhold.gateway import calls
 
-# A worker that crashed is back after some seconds; the request comes again within its deadline,
-# eight seconds at most, and perhaps once more. A minute covers several such rounds.
-MEMORY_S = 60.0
-# Lost connections also have innocent causes, mostly one at a time. After this many in a row for
-# the very same request it is the request.
-CRASHES_LIMIT = 3
-MAX_REMEMBERED = 10_000
+# A crashed backend server restarts within seconds, and the request is retried within its deadline
+# of at most eight seconds, possibly once more. A minute covers several such cycles.
+RETENTION_S = 60.0
+# Connections are also lost for reasons unrelated to the request, mostly one at a time. After this
+# many consecutive losses for the same request, the request is the cause.
+CRASH_THRESHOLD = 3
+MAX_RECORDS = 10_000
 
 
-def fingerprint(call: calls.Call, workspace: str) -> str:
-    """Return what tells equal requests of one workspace, whatever their names."""
+def request_fingerprint(call: calls.Call, workspace: str) -> str:
+    """Return a hash of the request's content and workspace as hexadecimal digits.
+
+    Call IDs are left out, so that retries of a request have the same fingerprint.
+    """
     digest = hashlib.blake2b(digest_size=12)
     for part in (call.method.encode(), call.target, workspace.encode(), call.body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -28,52 +31,62 @@
 
 
 @attrs.define
-class _Record:
+class _CrashCount:
+    """Lost connections of one request; ``last_s`` is the trio clock time of the newest."""
+
     count: int = 0
     last_s: float = 0.0
 
 
 @attrs.define(eq=False)
-class CrashMemory:
-    """Connections that broke while a server ran a request, by request."""
+class CrashTracker:
+    """Counts lost connections to servers by the fingerprint of the request that they ran."""
 
-    _records: dict[str, _Record] = attrs.field(factory=dict, init=False)
+    _records: dict[str, _CrashCount] = attrs.field(factory=dict, init=False)
 
-    def note(self, mark: str, count: int = 1) -> None:
-        """Count servers that were lost with a request."""
-        self._forget_old()
-        record = self._records.setdefault(mark, _Record())
+    def record_crash(self, fingerprint: str, count: int = 1) -> None:
+        """Add lost connections to a request's count."""
+        self._evict_expired()
+        record = self._records.setdefault(fingerprint, _CrashCount())
         record.count += count
         record.last_s = trio.current_time()
 
-    def merge(self, mark: str, count: int) -> None:
-        """Take in what another entry has counted in all."""
-        self._forget_old()
-        record = self._records.setdefault(mark, _Record())
+    def merge(self, fingerprint: str, count: int) -> None:
+        """Update a request's count with another entry's total, if that is higher."""
+        self._evict_expired()
+        record = self._records.setdefault(fingerprint, _CrashCount())
         if count > record.count:
             record.count, record.last_s = count, trio.current_time()
 
-    def clear(self, mark: str) -> None:
-        """Take note that a server answered the request."""
-        self._records.pop(mark, None)
+    def clear(self, fingerprint: str) -> None:
+        """Reset a request's count after a server has responded to it."""
+        self._records.pop(fingerprint, None)
 
-    def is_dangerous(self, mark: str) -> bool:
-        """Tell whether no server should get the request any more."""
-        record = self._records.get(mark)
-        if record is None or trio.current_time() - record.last_s > MEMORY_S:
+    def is_blocked(self, fingerprint: str) -> bool:
+        """Return whether a request may not be sent to any server any more."""
+        record = self._records.get(fingerprint)
+        if record is None or trio.current_time() - record.last_s > RETENTION_S:
             return False
-        return record.count >= CRASHES_LIMIT
+        return record.count >= CRASH_THRESHOLD
 
-    def recent(self, limit: int, max_age_s: float = MEMORY_S) -> list[tuple[str, int]]:
-        """Return the newest counts, for other entries."""
+    def recent_counts(self, limit: int, max_age_s: float = RETENTION_S) -> list[tuple[str, int]]:
+        """Return fingerprints with their counts, to be sent to other entries.
+
+        :param limit: maximum number of fingerprints; the latest additions are returned
+        :param max_age_s: maximum time since the newest lost connection
+        """
         oldest_s = trio.current_time() - max_age_s
         newest = list(self._records.items())[-limit:]
-        return [(mark, record.count) for mark, record in newest if record.last_s >= oldest_s]
-
-    def _forget_old(self) -> None:
-        oldest_s = trio.current_time() - MEMORY_S
+        return [
+            (fingerprint, record.count)
+            for fingerprint, record in newest
+            if record.last_s >= oldest_s
+        ]
+
+    def _evict_expired(self) -> None:
+        oldest_s = trio.current_time() - RETENTION_S
         while self._records:
-            mark = next(iter(self._records))
-            if len(self._records) <= MAX_REMEMBERED and self._records[mark].last_s >= oldest_s:
+            fingerprint = next(iter(self._records))
+            if len(self._records) <= MAX_RECORDS and self._records[fingerprint].last_s >= oldest_s:
                 return
-            del self._records[mark]
+            del self._records[fingerprint]
--- a/toucanhold/gateway/findings.py
+++ b/toucanhold/gateway/findings.py
@@ -1,53 +1,72 @@
-"""Servers that entries found silent, and for how long they tell each other."""
+"""Deduplicates and relays reports of backend servers that have stopped sending events."""
 
 from __future__ import annotations
 
 import attrs
 import trio
 
-# Covers three notices: one lost datagram must not cost the finding.
-REPEAT_S = 0.5
-# A finding is acted on once in this time, however many entries repeat it.
-ACCEPT_AGAIN_S = 1.0
+# Covers three notices, so that a report survives the loss of one datagram.
+REPEAT_PERIOD_S = 0.5
+# A server's reports are acted on once in this period, however many entries repeat them.
+DEDUPLICATION_S = 1.0
 
 
 @attrs.frozen
-class _Finding:
+class _SilenceReport:
+    """A silent server, with the name of the entry that detected it."""
+
     entry: str
-    at_s: float
+    reported_s: float
     is_local: bool
 
 
 @attrs.define(eq=False)
-class Findings:
-    """What this entry found, and what it received."""
+class SilenceReports:
+    """Silent servers that this entry detected or that other entries reported."""
 
-    _known: dict[str, _Finding] = attrs.field(factory=dict, init=False)
+    _reports: dict[str, _SilenceReport] = attrs.field(factory=dict, init=False)
 
-    def note(self, server_id: str, entry: str, is_local: bool) -> bool:
-        """Take in a finding.
+    def record(self, server_id: str, entry: str, is_local: bool) -> bool:
+        """Record that a server is silent.
 
-        :param is_local: whether it comes from this entry or one that reports to it
-        :return: whether it is new
+        :param entry: name of the entry that detected it
+        :param is_local: whether that is this entry or one that reports to it
+        :return: False if the server was already reported within ``DEDUPLICATION_S``
         """
         now_s = trio.current_time()
-        known = self._known.get(server_id)
-        if known is not None and now_s - known.at_s < ACCEPT_AGAIN_S:
+        previous = self._reports.get(server_id)
+        if previous is not None and now_s - previous.reported_s < DEDUPLICATION_S:
             return False
-        self._known[server_id] = _Finding(entry, now_s, is_local)
+        self._reports[server_id] = _SilenceReport(entry, now_s, is_local)
         return True
 
     def local(self) -> dict[str, str]:
-        """Return what to pass up, and to other zones."""
-        return {name: each.entry for name, each in self._recent().items() if each.is_local}
+        """Return the recent local reports, for aggregators here and in other zones.
+
+        :return: server ID to the name of the entry that detected it
+        """
+        return {
+            server_id: report.entry
+            for server_id, report in self._recent().items()
+            if report.is_local
+        }
 
     def all(self) -> dict[str, str]:
-        """Return what to pass down."""
-        return {name: each.entry for name, each in self._recent().items()}
+        """Return all recent reports, for entries that report to this one.
 
-    def _recent(self) -> dict[str, _Finding]:
+        :return: server ID to the name of the entry that detected it
+        """
+        return {server_id: report.entry for server_id, report in self._recent().items()}
+
+    def _recent(self) -> dict[str, _SilenceReport]:
         now_s = trio.current_time()
-        self._known = {
-            name: each for name, each in self._known.items() if now_s - each.at_s < ACCEPT_AGAIN_S
+        self._reports = {
+            server_id: report
+            for server_id, report in self._reports.items()
+            if now_s - report.reported_s < DEDUPLICATION_S
+        }
+        return {
+            server_id: report
+            for server_id, report in self._reports.items()
+            if now_s - report.reported_s < REPEAT_PERIOD_S
         }
-        return {name: each for name, each in self._known.items() if now_s - each.at_s < REPEAT_S}
--- a/toucanhold/gateway/load.py
+++ b/toucanhold/gateway/load.py
@@ -1,4 +1,4 @@
-"""How busy each backend server is: this entry's requests in flight, and those of the others."""
+"""Tracks the requests that this and other entries have in flight at each backend server."""
 
 from __future__ import annotations
 
@@ -9,64 +9,70 @@
 import attrs
 import trio
 
+# Requests in flight by server ID.
 Counts = collections.abc.Mapping[str, int]
 
 
 @attrs.frozen
-class _Source:
+class _SourceCounts:
+    """Counts reported by one source; they expire at a trio clock time."""
+
     counts: Counts
     valid_until_s: float
     is_local: bool
 
 
 @attrs.define(eq=False)
-class LoadBoard:
-    """Requests in flight by server, kept as totals that are updated by difference.
+class LoadTracker:
+    """Requests in flight by server ID, kept as incrementally updated totals.
 
-    An estimate costs the same however many entries there are.
+    The cost of an estimate therefore does not depend on the number of entries.
 
-    :ivar own: this entry's requests
+    :ivar own: this entry's requests in flight
     """
 
     own: collections.Counter[str] = attrs.field(factory=collections.Counter, init=False)
-    _sources: dict[str, _Source] = attrs.field(factory=dict, init=False)
-    _others: collections.Counter[str] = attrs.field(factory=collections.Counter, init=False)
+    _sources: dict[str, _SourceCounts] = attrs.field(factory=dict, init=False)
+    _other_counts: collections.Counter[str] = attrs.field(factory=collections.Counter, init=False)
     _next_expiry_s: float = attrs.field(default=math.inf, init=False)
 
     def add(self, server_id: str) -> None:
-        """Count a request that is sent."""
+        """Count a request of this entry that is sent to a server."""
         self.own[server_id] += 1
 
     def remove(self, server_id: str) -> None:
-        """Count a request that has ended."""
+        """Stop counting a request of this entry; surplus calls have no effect."""
         _subtract(self.own, {server_id: 1})
 
-    def put(self, source: str, counts: Counts, valid_s: float, is_local: bool = False) -> None:
-        """Replace what one source reported.
+    def update_source(
+        self, source: str, counts: Counts, valid_s: float, is_local: bool = False
+    ) -> None:
+        """Replace the counts that one source reported.
 
-        :param source: an entry, or an availability zone whose entries were summed
-        :param valid_s: time after which it says nothing any more
-        :param is_local: whether the source reports to this entry and to no other
+        :param source: name of an entry, or of a group of entries whose counts were summed
+        :param valid_s: time after which the counts expire
+        :param is_local: whether the counts are to be included in :meth:`local_counts`, because the
+            source reports to this entry
         """
-        self.drop(source)
+        self.remove_source(source)
         valid_until_s = trio.current_time() + valid_s
-        self._sources[source] = _Source(counts, valid_until_s, is_local)
-        self._others.update(counts)
+        self._sources[source] = _SourceCounts(counts, valid_until_s, is_local)
+        self._other_counts.update(counts)
         self._next_expiry_s = min(self._next_expiry_s, valid_until_s)
 
-    def drop(self, source: str) -> None:
-        """Forget what one source reported."""
-        old = self._sources.pop(source, None)
-        if old is not None:
-            _subtract(self._others, old.counts)
+    def remove_source(self, source: str) -> None:
+        """Discard the counts that one source reported, if any."""
+        previous = self._sources.pop(source, None)
+        if previous is not None:
+            _subtract(self._other_counts, previous.counts)
 
     def estimate(self, server_id: str) -> int:
-        """Return the requests that all entries have in flight there."""
+        """Return the number of requests that all entries have in flight at a server."""
         self._expire()
-        return self.own.get(server_id, 0) + self._others.get(server_id, 0)
+        return self.own.get(server_id, 0) + self._other_counts.get(server_id, 0)
 
-    def local(self) -> dict[str, int]:
-        """Return this entry's requests and those of its local sources."""
+    def local_counts(self) -> dict[str, int]:
+        """Return the requests in flight of this entry and its local sources, by server ID."""
         self._expire()
         total = collections.Counter(self.own)
         for source in self._sources.values():
@@ -74,10 +80,10 @@
                 total.update(source.counts)
         return dict(total)
 
-    def without(self, source: str) -> dict[str, int]:
-        """Return the requests of all entries but one source's."""
+    def counts_without(self, source: str) -> dict[str, int]:
+        """Return the requests in flight of all entries except one source, by server ID."""
         self._expire()
-        total = self._others + self.own
+        total = self._other_counts + self.own
         if source in self._sources:
             _subtract(total, self._sources[source].counts)
         return dict(total)
@@ -88,15 +94,15 @@
             return
         for name, source in list(self._sources.items()):
             if source.valid_until_s <= now_s:
-                self.drop(name)
-        left = (source.valid_until_s for source in self._sources.values())
-        self._next_expiry_s = min(left, default=math.inf)
+                self.remove_source(name)
+        remaining = (source.valid_until_s for source in self._sources.values())
+        self._next_expiry_s = min(remaining, default=math.inf)
 
 
 def _subtract(total: collections.Counter[str], counts: Counts) -> None:
     for server_id, count in counts.items():
-        left = total[server_id] - count
-        if left > 0:
-            total[server_id] = left
+        remaining = total[server_id] - count
+        if remaining > 0:
+            total[server_id] = remaining
         else:
             del total[server_id]
--- a/toucanhold/platform/directory.py
+++ b/toucanhold/platform/directory.py
@@ -53,7 +53,7 @@
     def addresses(self, zone: str) -> list[str]:
         """Return up to ``MAX_ADDRESSES`` entry addresses for a caller in ``zone``, shuffled."""
         listed_entries = sharing.advertised(
-            sharing.near(self.entry_list.serving(), zone), zone, time.time()
+            sharing.near_zone(self.entry_list.serving(), zone), zone, time.time()
         )
         self.rng.shuffle(listed_entries)
         return [entry.callers_address for entry in listed_entries[:MAX_ADDRESSES]]
--- a/toucanhold/platform/entry.py
+++ b/toucanhold/platform/entry.py
@@ -97,7 +97,7 @@
             self.follower.run,
             self.registry.run,
             self.entries.run,
-            self.entries.watch,
+            self.entries.run_expiry,
             self.planner_lease.run,
             self.planner.run,
             self.gateway.admission.run,
@@ -127,7 +127,7 @@
         events.log(LOGGER, events.Event.ENTRY_STOPPING, in_flight=self.gateway.in_flight)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.planner_lease.release)
-            nursery.start_soon(self.entries.leave)
+            nursery.start_soon(self.entries.deregister)
             # Callers cache the directory's answers and keep connecting for that long.
             nursery.start_soon(trio.sleep, CALLER_DRAIN_S)
         self._stop_http_servers.set()
@@ -197,14 +197,14 @@
     def _build_gateway(self) -> None:
         bounds = self.settings.bounds
         self.health = health.Health()
-        self.loads = load.LoadBoard()
-        self.crashes = crashes.CrashMemory()
+        self.loads = load.LoadTracker()
+        self.crashes = crashes.CrashTracker()
         self.exchange = exchange.Exchange(
             self.entries, self.loads, self.crashes, self._on_silence_report, self.rng
         )
-        self.silence = silence.SilenceWatch(self.health, self._on_silent_server)
+        self.silence = silence.SilenceDetector(self.health, self._on_silent_server)
         self.cold_budget = budget.ColdBudget(bounds.cold_overage, bounds.cold_slack, self.entries)
-        self.targets = targets.Targets(
+        self.targets = targets.ServerSelector(
             self.registry,
             self.group_records,
             self.loads,
@@ -247,7 +247,7 @@
         self.planner.stall_s = bounds.stall_s
 
     def _on_silent_server(self, server_id: str) -> None:
-        self.exchange.note_silent(server_id)
+        self.exchange.report_silent(server_id)
         self.planner.suspect(server_id)
 
     def _traffic_share(self) -> float:
--- a/toucanhold/platform/gauges.py
+++ b/toucanhold/platform/gauges.py
@@ -27,7 +27,7 @@
             yield count, {"toucanhold.zone": "other" if is_other_zone else "own"}
 
     def waiting() -> metrics.Observed:
-        yield entry.gateway.admission.waiting, {}
+        yield entry.gateway.admission.queue_length, {}
 
     def load_age() -> metrics.Observed:
         yield entry.exchange.digest_age_s, {}
--- a/toucanhold/platform/servers.py
+++ b/toucanhold/platform/servers.py
@@ -43,7 +43,7 @@
 
     @contextlib.asynccontextmanager
     async def exchange(
-        self, server: servers.Server, forwarded: calls.Forwarded
+        self, server: servers.Server, forwarded: calls.ForwardedCall
     ) -> collections.abc.AsyncIterator[calls.Response]:
         """See :class:`calls.ServerClient`."""
         connection = await _connect(server.address, min(CONNECT_TIMEOUT_S, forwarded.remaining_s))
@@ -73,7 +73,7 @@
             )
         except calls.NotRunError:
             return orders.OrderOutcome.UNREACHABLE
-        except calls.AnswerLostError:
+        except calls.ResponseLostError:
             return orders.OrderOutcome.LOST
         if status == 202:
             return orders.OrderOutcome.BEGUN
@@ -127,7 +127,7 @@
                 async for chunk in response.aiter_stream():
                     content += chunk
                     if len(content) > REPORT_LIMIT_BYTES:
-                        raise calls.AnswerLostError(
+                        raise calls.ResponseLostError(
                             f"{server.server_id}: response exceeds {REPORT_LIMIT_BYTES} bytes"
                         )
             if response.status == 421:
@@ -136,7 +136,7 @@
                 )
             return response.status, bytes(content)
         except trio.TooSlowError as error:
-            raise calls.AnswerLostError(
+            raise calls.ResponseLostError(
                 f"{server.server_id}: no response within {CONTROL_TIMEOUT_S} s"
             ) from error
         finally:
@@ -164,7 +164,7 @@
     return httpcore.URL(scheme=b"http", host=host.encode(), port=int(port), target=target)
 
 
-def _request(server: servers.Server, forwarded: calls.Forwarded) -> httpcore.Request:
+def _request(server: servers.Server, forwarded: calls.ForwardedCall) -> httpcore.Request:
     call = forwarded.call
     request_headers = [
         (b"host", call.host.encode()),
@@ -201,12 +201,14 @@
 def _check_identity(call: calls.Call, response: httpcore.Response) -> None:
     answered_id = headers.find(response.headers, headers.CALL_ID)
     if answered_id and answered_id != call.call_id:
-        raise calls.AnswerLostError(f"response belongs to another request, {answered_id}")
+        raise calls.ResponseLostError(f"response belongs to another request, {answered_id}")
     if 200 <= response.status < 300:
         if not headers.find(response.headers, headers.SEAL):
-            raise calls.AnswerLostError(f"status {response.status} without the server's signature")
+            raise calls.ResponseLostError(
+                f"status {response.status} without the server's signature"
+            )
         if headers.find(response.headers, b"content-encoding"):
-            raise calls.AnswerLostError("response has a content encoding that was not requested")
+            raise calls.ResponseLostError("response has a content encoding that was not requested")
 
 
 async def _chunks(
@@ -223,7 +225,7 @@
         yield
     except TRANSFER_ERRORS as error:
         detail = f"{server.server_id}: connection lost: {error!r}"
-        raise calls.AnswerLostError(detail, was_cut=True) from error
+        raise calls.ResponseLostError(detail, is_connection_lost=True) from error
 
 
 def _order_body(order: orders.Order) -> dict:
