--- a/standins/orders.py
+++ b/standins/orders.py
@@ -11,7 +11,7 @@
 from toucanhold.configuration import rules
 from toucanhold.coordination import keyvalue
 from toucanhold.membership import roster
-from toucanhold.orders import building, keeper
+from toucanhold.orders import building, handling
 from toucanhold.routing import dispatch, requests
 
 SERVICE = rules.Service("releases", rules.ServiceKind.PLAIN)
@@ -177,7 +177,7 @@
 class FakeEntry:
     """An entry's keeper in a nursery of its own, so that it can be ended."""
 
-    keeper: keeper.OrderKeeper
+    keeper: handling.OrderHandler
     scopes: list = attrs.field(factory=list)
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED):
@@ -215,7 +215,7 @@
     own = roster.Member(name, "zone-a", address, "", "", boot=boot)
     entries = roster.Roster(own)
     return FakeEntry(
-        building.new_keeper(
+        building.new_order_handler(
             entries,
             sender.serve,
             store,
--- a/tests/test_order_keys.py
+++ b/tests/test_order_keys.py
@@ -67,7 +67,7 @@
             used = [a.issue() for _ in range(100)]
             for key in used:
                 await a.order(order_fakes.new_request(key))
-            self.assertEqual(0, await a.keeper.finish(limit_s=30))
+            self.assertEqual(0, await a.keeper.drain(limit_s=30))
             a.kill()
             b.keeper.issued.roster.forget("a")
             for key in used:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -376,10 +376,10 @@
                 await trio.sleep(0.05)
                 store.down = True
             self.assertEqual(200, (await a.order(order_fakes.new_request()))[0])
-            self.assertEqual(1, await a.keeper.finish(limit_s=20))
+            self.assertEqual(1, await a.keeper.drain(limit_s=20))
             self.assertEqual("claim-unavailable", (await b.order(order_fakes.new_request()))[0])
             store.down = False
-            self.assertEqual(0, await a.keeper.finish(limit_s=20))
+            self.assertEqual(0, await a.keeper.drain(limit_s=20))
             self.assertEqual(200, (await b.order(order_fakes.new_request()))[0])
             self.assertEqual(1, len(sender.runs))
 
--- a/toucanhold/callers/app.py
+++ b/toucanhold/callers/app.py
@@ -14,7 +14,7 @@
 from toucanhold.callers import bodies, directory, measuring, order_keys, problems, reading
 from toucanhold.configuration import holder, rules
 from toucanhold.membership import permit
-from toucanhold.orders import keeper
+from toucanhold.orders import handling
 from toucanhold.routing import dispatch, requests
 
 ADDRESSES_PATH = "/toucanhold/v1/addresses"
@@ -42,7 +42,7 @@
     configuration: holder.ConfigurationHolder
     permit: permit.WorkPermit
     dispatcher: dispatch.Dispatcher
-    orders: keeper.OrderKeeper
+    orders: handling.OrderHandler
     directory: directory.Directory
     metrics: metrics.Metrics
     limits: reading.Limits
--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -107,7 +107,7 @@
             nursery.start_soon(trio.sleep, self.settings.directory_keep_s + LATE_CALLERS_S)
         self._stop_serving.set()
         await self._all_served.wait()
-        unstored = await self.orders.finish(STORE_OUTCOMES_LIMIT_S)
+        unstored = await self.orders.drain(STORE_OUTCOMES_LIMIT_S)
         if unstored:
             events.log(LOGGER, events.Event.OUTCOMES_LOST, count=unstored)
         await self.router.release()
@@ -222,7 +222,7 @@
                 exchange=self.exchange,
             )
         )
-        self.orders = building.new_keeper(
+        self.orders = building.new_order_handler(
             self.roster, self.router.dispatcher.serve, self.platform, self.settings.peer_key
         )
 
--- a/toucanhold/orders/building.py
+++ b/toucanhold/orders/building.py
@@ -10,8 +10,8 @@
     claimed,
     claims,
     commits,
+    handling,
     issued,
-    keeper,
     keys,
     leases,
     limits,
@@ -23,14 +23,14 @@
 BURST_S = 1.0
 
 
-def new_keeper(
+def new_order_handler(
     entries: roster.Roster,
     serve: running.Serve,
     platform: keyvalue.KeyValueClient,
     peer_keys: keyring.KeyRing,
     wall_clock: collections.abc.Callable[[], float] = time.time,
     calls_per_s: float = CLAIM_CALLS_PER_S,
-) -> keeper.OrderKeeper:
+) -> handling.OrderHandler:
     """Return a keeper whose calls are this entry's share of what all entries may use.
 
     :param peer_keys: the secrets that entries share
@@ -54,4 +54,4 @@
     by_claim = claimed.ClaimedOrders(own.entry, own.boot, runner, store, wall_clock)
     signer = keys.KeySigner(peer_keys)
     by_issue = issued.IssuedOrders(entries, runner, store, signer, wall_clock)
-    return keeper.OrderKeeper(runner, by_claim, by_issue)
+    return handling.OrderHandler(runner, by_claim, by_issue)
--- a/toucanhold/orders/keeper.py
+++ b/toucanhold/orders/handling.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define(eq=False)
-class OrderKeeper:
+class OrderHandler:
     """Serves orders by the kind of their key."""
 
     runner: running.OrderRunner
@@ -25,7 +25,7 @@
             await nursery.start(self.runner.run)
             task_status.started()
 
-    async def finish(self, limit_s: float) -> int:
+    async def drain(self, limit_s: float) -> int:
         """Store every outcome before a planned stop ends; return the number that is not."""
         deadline_s = trio.current_time() + limit_s
         unsettled = await self.runner.wait_idle(limit_s)
