--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -318,7 +318,7 @@
         """Commit all at once, one more first so that they gather; return the results."""
         store = order_fakes.FakeKeyValue(items={"taken": keyvalue.Item("taken", b"", 1, 1)})
         bucket = limits.TokenBucket(lambda: 1000.0, 100)
-        committer = commits.CombiningCommitter(store, bucket, workers=1)
+        committer = commits.BatchingCommitter(store, bucket, workers=1)
         outcomes = {}
 
         async def one(number, key):
--- a/toucanhold/callers/order_keys.py
+++ b/toucanhold/callers/order_keys.py
@@ -58,8 +58,8 @@
             RecursionError,
         ) as error:
             raise _malformed("the body must be a JSON object") from error
-        if type(count) is not int or not 1 <= count <= issued.MAX_KEYS_AT_ONCE:
-            raise _malformed(f"count must be 1 to {issued.MAX_KEYS_AT_ONCE}")
+        if type(count) is not int or not 1 <= count <= issued.MAX_KEYS_PER_REQUEST:
+            raise _malformed(f"count must be 1 to {issued.MAX_KEYS_PER_REQUEST}")
         return count
 
 
--- a/toucanhold/orders/building.py
+++ b/toucanhold/orders/building.py
@@ -46,7 +46,7 @@
     bucket = limits.TokenBucket(rate_per_s, max(1.0, BURST_S * rate_per_s()))
     store = claims.ClaimStore(
         platform,
-        commits.CombiningCommitter(platform, bucket),
+        commits.BatchingCommitter(platform, bucket),
         leases.ClaimLeases(platform, max_claims=max_claims),
     )
     runner = running.OrderRunner(serve)
--- a/toucanhold/orders/commits.py
+++ b/toucanhold/orders/commits.py
@@ -83,7 +83,7 @@
 
 
 @attrs.define(eq=False)
-class CombiningCommitter(Committer):
+class BatchingCommitter(Committer):
     """Puts together what has gathered while earlier calls were under way."""
 
     client: keyvalue.KeyValueClient
--- a/toucanhold/orders/issued.py
+++ b/toucanhold/orders/issued.py
@@ -17,7 +17,7 @@
 
 MAX_USED_KEYS = 50_000
 MAX_KEPT_ANSWERS_BYTES = 4 * 1024 * 1024
-MAX_KEYS_AT_ONCE = 100
+MAX_KEYS_PER_REQUEST = 100
 MAX_STORED_AT_ONCE = 64
 FULL_RETRY_AFTER_S = 5.0
 ELSEWHERE_RETRY_AFTER_S = 1.0
@@ -65,7 +65,7 @@
         expires_at_s = trio.current_time() + keys.VALID_S
         return [
             self.signer.issue(own.entry, own.boot, workspace, expires_at_s)
-            for _ in range(min(count, MAX_KEYS_AT_ONCE))
+            for _ in range(min(count, MAX_KEYS_PER_REQUEST))
         ]
 
     async def result(self, request: requests.CallerRequest) -> results.Result:
