--- a/standins/memory.py
+++ b/standins/memory.py
@@ -201,7 +201,9 @@
 class MemoryNetwork:
     """Streams between named hosts; pairs of hosts can be cut off from each other silently."""
 
-    _listeners: dict[str, tuple[str, transport.Handler, trio.Nursery]] = attrs.field(factory=dict)
+    _listeners: dict[str, tuple[str, transport.StreamHandler, trio.Nursery]] = attrs.field(
+        factory=dict
+    )
     _cut: set[frozenset[str]] = attrs.field(factory=set)
     _one_way: set[tuple[str, str]] = attrs.field(factory=set)
     _streams: list[_CuttableStream] = attrs.field(factory=list)
@@ -237,7 +239,7 @@
         self._one_way.clear()
 
     def listen(
-        self, address: str, name: str, handler: transport.Handler, nursery: trio.Nursery
+        self, address: str, name: str, handler: transport.StreamHandler, nursery: trio.Nursery
     ) -> None:
         """Register a listener."""
         if address in self._listeners:
@@ -310,7 +312,7 @@
     async def listen(
         self,
         address: str,
-        handler: transport.Handler,
+        handler: transport.StreamHandler,
         *,
         task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED,
     ) -> None:
--- a/tests/proof/site.py
+++ b/tests/proof/site.py
@@ -75,12 +75,12 @@
 
 class _PeerNetwork(memory.MemoryNetwork):
     def listen(
-        self, address: str, name: str, handler: transport.Handler, nursery: trio.Nursery
+        self, address: str, name: str, handler: transport.StreamHandler, nursery: trio.Nursery
     ) -> None:
         super().listen(address, name, functools.partial(_accept, name, handler), nursery)
 
 
-async def _accept(owner: str, handler: transport.Handler, stream: trio.abc.Stream) -> None:
+async def _accept(owner: str, handler: transport.StreamHandler, stream: trio.abc.Stream) -> None:
     network.OWNER.set(owner)
     await trio.lowlevel.checkpoint()
     await handler(stream)
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -55,7 +55,7 @@
 
     async def pump():
         while True:
-            for body in await outbox.take():
+            for body in await outbox.pop_all():
                 await trio.sleep(0.001)
                 target.deliver(source_name, messages.decode(body))
 
--- a/tools/measure/state.py
+++ b/tools/measure/state.py
@@ -169,7 +169,7 @@
     reader = reading.ConfigurationReader(
         store.ConfigurationStore(memory.MemoryPlatform().client(name)), held
     )
-    words = revisions.RevisionExchange(
+    words = revisions.RevisionSync(
         found, held, reader, plan.PlanHolder(), roster.Roster(member), known
     )
     return _Host(
@@ -180,7 +180,7 @@
             network.transport(name),
             found,
             lambda: {f"{each}:3" for each in names},
-            words.heartbeat,
+            words.compose_heartbeat,
             random.Random(f"{seed}:{name}"),
         )
     )
--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -98,7 +98,7 @@
         events.log(LOGGER, events.Event.ENTRY_STOPPING, in_flight=self.callers.in_flight)
         self.roster.set_own_state(roster.EntryState.STOPPING)
         self.callers.begin_stop()
-        self.revisions.announce()
+        self.revisions.broadcast_heartbeat()
         async with trio.open_nursery() as nursery:
             # Another entry takes over planning at once, not after the last stream has ended.
             nursery.start_soon(self.planner_lease.release)
@@ -141,7 +141,7 @@
         own = self.settings
         self.exchange = exchange.Exchange()
         self.facts = facts.FactTable(facts.EntryFact(self.roster.own, facts.new_incarnation()))
-        self.revisions = revisions.RevisionExchange(
+        self.revisions = revisions.RevisionSync(
             self.exchange,
             self.configuration,
             self.reader,
@@ -149,7 +149,7 @@
             self.roster,
             self.facts,
         )
-        self.holds = holds.HoldSpreader(
+        self.holds = holds.HoldBroadcaster(
             own.entry,
             self.exchange,
             self.configuration,
@@ -164,7 +164,7 @@
             self.outside.peers,
             self.exchange,
             self._peer_addresses,
-            self.revisions.heartbeat,
+            self.revisions.compose_heartbeat,
             self.rng,
         )
 
@@ -172,8 +172,8 @@
             self.configuration,
             self.reader,
             self.roster,
-            self.revisions.heard_numbers,
-            self.peers.drop_all,
+            self.revisions.peer_numbers,
+            self.peers.disconnect_all,
             self.rng,
         )
 
--- a/toucanhold/operators/changes.py
+++ b/toucanhold/operators/changes.py
@@ -32,7 +32,7 @@
 
     store: store.ConfigurationStore
     configuration: holder.ConfigurationHolder
-    spreader: peer_holds.HoldSpreader
+    spreader: peer_holds.HoldBroadcaster
     roster: roster.Roster
     facts: facts.FactTable
     refresh: Refresh
@@ -64,7 +64,7 @@
         # A hold first: were the key-value service asked first, a slow one would keep the zone's
         # new work going for as long as its call takes, and an outage for as long as that lasts.
         hold = holds.new_hold(zone, author, self.roster.own.entry)
-        self.spreader.place(hold)
+        self.spreader.add_hold(hold)
         with trio.move_on_after(DURABLE_WAIT_S):
             while hold.hold not in self.configuration.accepted.resolved_holds:
                 await self.configuration.wait_changed()
--- a/toucanhold/peers/exchange.py
+++ b/toucanhold/peers/exchange.py
@@ -48,7 +48,7 @@
         self._filled.set()
         return True
 
-    async def take(self) -> list[bytes]:
+    async def pop_all(self) -> list[bytes]:
         """Wait for frame bodies and return all."""
         while not self._bodies:
             self._filled = trio.Event()
--- a/toucanhold/peers/holds.py
+++ b/toucanhold/peers/holds.py
@@ -23,7 +23,7 @@
 
 
 @attrs.define(eq=False)
-class HoldSpreader:
+class HoldBroadcaster:
     """Passes holds on to every peer, and to the key-value service.
 
     :ivar own: this entry's name
@@ -44,7 +44,7 @@
         # so an entry knows them by the time it believes itself up to date.
         self.exchange.subscribe_connected(self._tell_all)
 
-    def place(self, hold: holds.Hold) -> None:
+    def add_hold(self, hold: holds.Hold) -> None:
         """Put a hold in force here and tell all peers."""
         self.configuration.add_hold(hold, "operator")
         self.exchange.broadcast(messages.HoldNews((hold,)))
--- a/toucanhold/peers/revisions.py
+++ b/toucanhold/peers/revisions.py
@@ -26,7 +26,7 @@
 
 
 @attrs.define(eq=False)
-class RevisionExchange:
+class RevisionSync:
     """Composes this entry's heartbeats and acts on those of its peers."""
 
     exchange: exchange.Exchange
@@ -47,7 +47,7 @@
         self.exchange.subscribe(messages.PlanAsk, self._answer_plan)
         self.exchange.subscribe(messages.PlanNews, self._take_plan)
 
-    def heartbeat(self, peer: str) -> messages.Heartbeat:
+    def compose_heartbeat(self, peer: str) -> messages.Heartbeat:
         """Return what to tell a peer now."""
         number, revision = self.configuration.current.number, self.plans.revision
         self.facts.say(
@@ -59,18 +59,18 @@
         news = self.facts.news_for(peer)
         return messages.Heartbeat(number, revision, plan_digest(self.plans), news)
 
-    def announce(self) -> None:
+    def broadcast_heartbeat(self) -> None:
         """Tell all peers at once what the next heartbeat would say."""
         for peer in self.exchange.connected():
-            self.exchange.send(peer, self.heartbeat(peer))
+            self.exchange.send(peer, self.compose_heartbeat(peer))
 
     async def run(self) -> None:
         """Announce each change of the configuration until cancelled."""
         while True:
             await self.configuration.wait_changed()
-            self.announce()
+            self.broadcast_heartbeat()
 
-    def heard_numbers(self) -> dict[str, int]:
+    def peer_numbers(self) -> dict[str, int]:
         """Return the configuration's number at each peer whose stream is up and has spoken."""
         connected = self.exchange.connected()
         return {
--- a/toucanhold/peers/streams.py
+++ b/toucanhold/peers/streams.py
@@ -79,7 +79,7 @@
                     nursery.start_soon(self._dial, address)
                 await trio.sleep(DIAL_CHECK_INTERVAL_S * self.rng.uniform(0.5, 1.5))
 
-    def drop_all(self) -> None:
+    def disconnect_all(self) -> None:
         """End all streams; peers are dialled anew."""
         for link in list(self._links.values()):
             link.scope.cancel()
@@ -213,7 +213,7 @@
 
     async def _send(self, link: _Link) -> None:
         while True:
-            bodies = await link.outbox.take()
+            bodies = await link.outbox.pop_all()
             before_bytes = link.frames.sent_bytes
             with trio.fail_after(SEND_TIMEOUT_S):
                 await link.frames.send(bodies)
--- a/toucanhold/peers/transport.py
+++ b/toucanhold/peers/transport.py
@@ -10,7 +10,7 @@
     """A peer could not be reached, or an address could not be bound."""
 
 
-Handler = collections.abc.Callable[[trio.abc.Stream], collections.abc.Awaitable[None]]
+StreamHandler = collections.abc.Callable[[trio.abc.Stream], collections.abc.Awaitable[None]]
 
 
 class PeerTransport(abc.ABC):
@@ -27,7 +27,7 @@
     async def listen(
         self,
         address: str,
-        handler: Handler,
+        handler: StreamHandler,
         *,
         task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED,
     ) -> None:
@@ -51,7 +51,7 @@
     async def listen(
         self,
         address: str,
-        handler: Handler,
+        handler: StreamHandler,
         *,
         task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED,
     ) -> None:
