--- a/toucanhold/callers/order_keys.py
+++ b/toucanhold/callers/order_keys.py
@@ -21,7 +21,7 @@
     :ivar closed: set when this entry stops: keys of a process that ends are of no use
     """
 
-    orders: issued.IssuedOrders
+    orders: issued.IssuedKeyExecutor
     closed: bool = False
 
     async def answer(self, receive: asgi.Receive, workspace: str) -> dict:
--- a/toucanhold/orders/building.py
+++ b/toucanhold/orders/building.py
@@ -51,7 +51,7 @@
     )
     runner = running.OrderRunner(serve)
     own = entries.own
-    by_claim = claimed.ClaimedOrders(own.entry, own.boot, runner, store, wall_clock)
+    by_claim = claimed.ClaimedOrderExecutor(own.entry, own.boot, runner, store, wall_clock)
     signer = keys.KeySigner(peer_keys)
-    by_issue = issued.IssuedOrders(entries, runner, store, signer, wall_clock)
+    by_issue = issued.IssuedKeyExecutor(entries, runner, store, signer, wall_clock)
     return handling.OrderHandler(runner, by_claim, by_issue)
--- a/toucanhold/orders/claimed.py
+++ b/toucanhold/orders/claimed.py
@@ -33,7 +33,7 @@
 
 
 @attrs.define(eq=False)
-class ClaimedOrders:
+class ClaimedOrderExecutor:
     """Claims, sends and records orders.
 
     :ivar wall_clock: POSIX time; only tells "in progress" from "unknown"
--- a/toucanhold/orders/handling.py
+++ b/toucanhold/orders/handling.py
@@ -15,8 +15,8 @@
     """Serves orders by the kind of their key."""
 
     runner: running.OrderRunner
-    claimed: claimed.ClaimedOrders
-    issued: issued.IssuedOrders
+    claimed: claimed.ClaimedOrderExecutor
+    issued: issued.IssuedKeyExecutor
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
         """Run orders until cancelled."""
--- a/toucanhold/orders/issued.py
+++ b/toucanhold/orders/issued.py
@@ -41,7 +41,7 @@
 
 
 @attrs.define(eq=False)
-class IssuedOrders:
+class IssuedKeyExecutor:
     """Runs orders whose key this process issued; the claims are its own memory.
 
     That is at most once because no other process ever runs such a key, and this one forgets a
