--- a/tests/test_keyring.py
+++ b/tests/test_keyring.py
@@ -54,9 +54,9 @@
     def test_order_keys_outlive_a_round(self):
         issued = keys.KeySigner(keyring.from_text(ROUNDS[1])).issue("a", "boot", "growers", 9.0)
         reader = keys.KeySigner(keyring.from_text(ROUNDS[2]))
-        self.assertEqual("a", reader.read(issued, "growers").entry)
+        self.assertEqual("a", reader.verify(issued, "growers").entry)
         with self.assertRaises(keys.InvalidKeyError):
-            keys.KeySigner(keyring.from_text(NEW)).read(issued, "growers")
+            keys.KeySigner(keyring.from_text(NEW)).verify(issued, "growers")
 
     def test_secrets_do_not_show(self):
         shown = io.StringIO()
--- a/tests/test_order_keys.py
+++ b/tests/test_order_keys.py
@@ -67,7 +67,7 @@
             used = [a.issue() for _ in range(100)]
             for key in used:
                 await a.order(order_fakes.new_request(key))
-            self.assertEqual(0, await a.keeper.drain(limit_s=30))
+            self.assertEqual(0, await a.keeper.drain(timeout_s=30))
             a.kill()
             b.keeper.issued.roster.forget("a")
             for key in used:
@@ -113,7 +113,7 @@
                 answer = await a.order(order_fakes.new_request(key))
                 self.assertEqual(("outcome-unknown", "unknown"), answer[:2])
             self.assertEqual(1, len(sender.runs))
-            self.assertFalse(a.keeper.issued._used)
+            self.assertFalse(a.keeper.issued._used_keys)
 
         self.with_known(body)
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -307,7 +307,7 @@
                 await trio.sleep(1)
             refused = ["claim-unavailable"] * 2
             self.assertEqual([200, "no-capacity", 200, 200, *refused], ends)
-            await trio.sleep(leases.KEPT_S + 3 * leases.BUCKET_S)
+            await trio.sleep(leases.KEPT_S + 3 * leases.LEASE_INTERVAL_S)
             self.assertEqual(200, (await a.order(order_fakes.new_request("later")))[0])
 
         self.with_entries(body)
@@ -376,10 +376,10 @@
                 await trio.sleep(0.05)
                 store.down = True
             self.assertEqual(200, (await a.order(order_fakes.new_request()))[0])
-            self.assertEqual(1, await a.keeper.drain(limit_s=20))
+            self.assertEqual(1, await a.keeper.drain(timeout_s=20))
             self.assertEqual("claim-unavailable", (await b.order(order_fakes.new_request()))[0])
             store.down = False
-            self.assertEqual(0, await a.keeper.drain(limit_s=20))
+            self.assertEqual(0, await a.keeper.drain(timeout_s=20))
             self.assertEqual(200, (await b.order(order_fakes.new_request()))[0])
             self.assertEqual(1, len(sender.runs))
 
--- a/toucanhold/orders/__init__.py
+++ b/toucanhold/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders: calls that may not be repeated and run at most once."""
+"""Executes orders, the non-idempotent requests of callers, at most once each."""
--- a/toucanhold/orders/building.py
+++ b/toucanhold/orders/building.py
@@ -1,4 +1,4 @@
-"""Puts the order keeper of an entry together."""
+"""Builds the order handler of an entry."""
 
 import collections.abc
 import time
@@ -18,30 +18,33 @@
     running,
 )
 
-# The platform takes several hundred writes a second from everything that uses it.
+# The key-value service accepts several hundred writes per second from all its clients together.
 CLAIM_CALLS_PER_S = 200.0
 BURST_S = 1.0
 
 
 def new_order_handler(
     entries: roster.Roster,
-    serve: running.Serve,
+    serve: running.ServeRequest,
     platform: keyvalue.KeyValueClient,
     peer_keys: keyring.KeyRing,
     wall_clock: collections.abc.Callable[[], float] = time.time,
     calls_per_s: float = CLAIM_CALLS_PER_S,
 ) -> handling.OrderHandler:
-    """Return a keeper whose calls are this entry's share of what all entries may use.
+    """Return an order handler that stays within this entry's share of the call rate.
 
-    :param peer_keys: the secrets that entries share
-    :param calls_per_s: what all entries together may send to the platform
+    :param entries: all entries; the rate and the number of claims are divided by their count
+    :param serve: sends a request to one backend server
+    :param peer_keys: secrets shared by the entries; order keys are signed with them
+    :param wall_clock: returns POSIX time in seconds
+    :param calls_per_s: calls per second that all entries together may send to the platform
     """
 
     def rate_per_s() -> float:
         return calls_per_s / len(entries.members())
 
     def max_claims() -> int:
-        return leases.MAX_KEPT_CLAIMS // len(entries.members())
+        return leases.MAX_STORED_CLAIMS // len(entries.members())
 
     bucket = limits.TokenBucket(rate_per_s, max(1.0, BURST_S * rate_per_s()))
     store = claims.ClaimStore(
@@ -51,7 +54,7 @@
     )
     runner = running.OrderRunner(serve)
     own = entries.own
-    by_claim = claimed.ClaimedOrderExecutor(own.entry, own.boot, runner, store, wall_clock)
+    claimed_executor = claimed.ClaimedOrderExecutor(own.entry, own.boot, runner, store, wall_clock)
     signer = keys.KeySigner(peer_keys)
-    by_issue = issued.IssuedKeyExecutor(entries, runner, store, signer, wall_clock)
-    return handling.OrderHandler(runner, by_claim, by_issue)
+    issued_executor = issued.IssuedKeyExecutor(entries, runner, store, signer, wall_clock)
+    return handling.OrderHandler(runner, claimed_executor, issued_executor)
--- a/toucanhold/orders/claimed.py
+++ b/toucanhold/orders/claimed.py
@@ -1,4 +1,4 @@
-"""Orders under a caller's own key, claimed in the key-value service."""
+"""Executes orders under idempotency keys chosen by callers, claimed in the key-value service."""
 
 import collections.abc
 import logging
@@ -20,10 +20,13 @@
 
 
 @attrs.define(eq=False)
-class _Order:
+class _ClaimedOrder:
     """An order that this process has claimed, or is claiming, until its outcome is stored.
 
-    :ivar result: what a repeat is told; None while it runs
+    :ivar key: key of the claim in the key-value service
+    :ivar fingerprint: SHA-256 of the order's method, path and body
+    :ivar record: the claim as written
+    :ivar result: result returned to repeats; None while the order runs
     """
 
     key: str
@@ -34,9 +37,12 @@
 
 @attrs.define(eq=False)
 class ClaimedOrderExecutor:
-    """Claims, sends and records orders.
+    """Claims orders, sends them to a backend server and stores their outcomes.
 
-    :ivar wall_clock: POSIX time; only tells "in progress" from "unknown"
+    :ivar entry: name of this entry
+    :ivar boot: unique to this process
+    :ivar wall_clock: returns POSIX time in seconds; only used to tell whether an order may still
+        be in progress or its outcome is unknown
     """
 
     entry: str
@@ -44,84 +50,90 @@
     runner: running.OrderRunner
     claims: claims.ClaimStore
     wall_clock: collections.abc.Callable[[], float] = time.time
-    _orders: dict[str, _Order] = attrs.field(factory=dict, init=False)
-
-    async def result(self, request: requests.CallerRequest) -> results.Result:
-        """Return how an order ended, or what its repeat is told."""
-        key, fingerprint = records.key_of(request), records.fingerprint_of(request)
-        known = self._orders.get(key)
-        if known is not None:
-            return self._repeat(known, fingerprint)
+    _orders: dict[str, _ClaimedOrder] = attrs.field(factory=dict, init=False)
+
+    async def execute(self, request: requests.CallerRequest) -> results.Result:
+        """Run an order and return its result, or return the result for a repeat of it."""
+        key, fingerprint = records.claim_key(request), records.order_fingerprint(request)
+        existing = self._orders.get(key)
+        if existing is not None:
+            return self._repeat_result(existing, fingerprint)
         if self.runner.count >= MAX_UNSETTLED:
-            # Outcomes that cannot be stored are held in memory; this bounds it.
+            # Outcomes that cannot be stored yet are held in memory; the limit bounds that memory.
             detail = f"{MAX_UNSETTLED} orders wait for their outcome to be stored"
-            return results.refused(requests.Problem.OVERLOADED, detail, BUSY_RETRY_AFTER_S)
+            return results.refusal(requests.Problem.OVERLOADED, detail, BUSY_RETRY_AFTER_S)
         order = self._new_order(key, fingerprint, request)
         self._orders[key] = order
-        return await self.runner.start(self._run, request, order)
+        return await self.runner.run_detached(self._run, request, order)
 
-    def _repeat(self, known: _Order, fingerprint: bytes) -> results.Result:
-        if known.fingerprint != fingerprint:
+    def _repeat_result(self, existing: _ClaimedOrder, fingerprint: bytes) -> results.Result:
+        if existing.fingerprint != fingerprint:
             return results.key_reused()
-        if known.result is None:
-            return results.in_progress(known.record.ends_at_s - self.wall_clock())
-        return known.result
-
-    def _new_order(self, key: str, fingerprint: bytes, request: requests.CallerRequest) -> _Order:
-        rest_s = max(0.0, request.deadline_s - trio.current_time())
-        ends_at_s = self.wall_clock() + rest_s + ANSWER_MARGIN_S
+        if existing.result is None:
+            return results.in_progress(existing.record.ends_at_s - self.wall_clock())
+        return existing.result
+
+    def _new_order(
+        self, key: str, fingerprint: bytes, request: requests.CallerRequest
+    ) -> _ClaimedOrder:
+        remaining_s = max(0.0, request.deadline_s - trio.current_time())
+        ends_at_s = self.wall_clock() + remaining_s + ANSWER_MARGIN_S
         attempt = uuid.uuid4().hex
         record = records.ClaimRecord(attempt, fingerprint, self.entry, self.boot, ends_at_s)
-        return _Order(key, fingerprint, record)
+        return _ClaimedOrder(key, fingerprint, record)
 
     async def _run(
-        self, request: requests.CallerRequest, reply: results.Reply, order: _Order
+        self, request: requests.CallerRequest, future: results.ResultFuture, order: _ClaimedOrder
     ) -> None:
         try:
-            held = await self._claim(order, reply)
-            if held is not None:
-                await self._run_held(request, reply, order, held)
+            claim = await self._claim(order, future)
+            if claim is not None:
+                await self._run_claimed(request, future, order, claim)
         finally:
             self._forget(order)
 
-    def _forget(self, order: _Order) -> None:
+    def _forget(self, order: _ClaimedOrder) -> None:
         if self._orders.get(order.key) is order:
             del self._orders[order.key]
 
-    async def _claim(self, order: _Order, reply: results.Reply) -> claims.HeldClaim | None:
+    async def _claim(
+        self, order: _ClaimedOrder, future: results.ResultFuture
+    ) -> claims.HeldClaim | None:
         try:
-            found = await self.claims.claim(order.key, order.record)
+            outcome = await self.claims.claim(order.key, order.record)
         except claims.ClaimUnavailableError as error:
             detail = f"this sending did not run; repeat it with the same key: {error}"
-            # A repeat may claim anew at once; only the claim that may stand is still looked after.
+            # A repeat may claim the key again at once. A claim that may exist is still deleted.
             self._forget(order)
-            reply.settle(
-                results.refused(requests.Problem.CLAIM_UNAVAILABLE, detail, error.retry_after_s)
+            future.set_result(
+                results.refusal(requests.Problem.CLAIM_UNAVAILABLE, detail, error.retry_after_s)
             )
-            if error.may_stand:
+            if error.may_exist:
                 await self.claims.abandon(order.key, order.record)
             return None
-        if isinstance(found, claims.HeldClaim):
-            return found
+        if isinstance(outcome, claims.HeldClaim):
+            return outcome
         now_s = self.wall_clock()
-        reply.settle(results.of_record(found, order.fingerprint, self.boot, self.entry, now_s))
+        future.set_result(
+            results.from_record(outcome, order.fingerprint, self.boot, self.entry, now_s)
+        )
         return None
 
-    async def _run_held(
+    async def _run_claimed(
         self,
         request: requests.CallerRequest,
-        reply: results.Reply,
-        order: _Order,
-        held: claims.HeldClaim,
+        future: results.ResultFuture,
+        order: _ClaimedOrder,
+        claim: claims.HeldClaim,
     ) -> None:
         result = await self.runner.send(request)
-        reply.settle(result)
+        future.set_result(result)
         record = results.to_record(order.record, result)
-        order.result = results.as_repeated(result, record)
+        order.result = results.replay_result(result, record)
         if record is None:
-            await self.claims.release(held)
+            await self.claims.release(claim)
         else:
-            await self.claims.record(held, record)
+            await self.claims.record_outcome(claim, record)
         events.log(
             LOGGER,
             events.Event.OUTCOME_STORED,
--- a/toucanhold/orders/handling.py
+++ b/toucanhold/orders/handling.py
@@ -1,4 +1,4 @@
-"""Runs each order at most once, whoever repeats it and wherever."""
+"""Handles orders so that each runs at most once, whichever entry receives its repeats."""
 
 import collections.abc
 import contextlib
@@ -12,51 +12,61 @@
 
 @attrs.define(eq=False)
 class OrderHandler:
-    """Serves orders by the kind of their key."""
+    """Passes each order to the executor for its kind of idempotency key.
+
+    :ivar claimed: executes orders under keys chosen by callers
+    :ivar issued: executes orders under keys issued by an entry
+    """
 
     runner: running.OrderRunner
     claimed: claimed.ClaimedOrderExecutor
     issued: issued.IssuedKeyExecutor
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
-        """Run orders until cancelled."""
+        """Run the tasks of orders and the commits of claims until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.claimed.claims.committer.run)
             await nursery.start(self.runner.run)
             task_status.started()
 
-    async def drain(self, limit_s: float) -> int:
-        """Store every outcome before a planned stop ends; return the number that is not."""
-        deadline_s = trio.current_time() + limit_s
-        unsettled = await self.runner.wait_idle(limit_s)
-        return unsettled + await self.issued.hand_over(deadline_s - trio.current_time())
+    async def drain(self, timeout_s: float) -> int:
+        """Wait for running orders and store all outcomes before a planned stop.
+
+        :param timeout_s: time for both together
+        :return: number of outcomes that are not stored
+        """
+        deadline_s = trio.current_time() + timeout_s
+        unstored = await self.runner.wait_idle(timeout_s)
+        return unstored + await self.issued.persist_outcomes(deadline_s - trio.current_time())
 
     @contextlib.asynccontextmanager
     async def serve(
         self, request: requests.CallerRequest
     ) -> collections.abc.AsyncIterator[dispatch.Answer]:
-        """Give an order's answer, or a repeat's.
+        """Yield the answer to an order, or the stored answer to a repeat of it.
 
-        :raises requests.RequestError: when there is none
+        :raises requests.RequestError: when there is no answer, with the reason and whether the
+            order ran
         """
-        result = await self._result(request)
+        result = await self._execute(request)
         if isinstance(result, requests.RequestError):
             raise result
-        yield dispatch.Answer(result.status, result.headers, _once(result.body))
+        yield dispatch.Answer(result.status, result.headers, _single_chunk(result.body))
 
-    async def _result(self, request: requests.CallerRequest) -> results.Result:
+    async def _execute(self, request: requests.CallerRequest) -> results.Result:
         if not request.idempotency_key:
-            return await self.runner.start(self._run_once, request)
+            return await self.runner.run_detached(self._run_once, request)
         if keys.is_issued(request.idempotency_key):
-            return await self.issued.result(request)
-        return await self.claimed.result(request)
+            return await self.issued.execute(request)
+        return await self.claimed.execute(request)
 
-    async def _run_once(self, request: requests.CallerRequest, reply: results.Reply) -> None:
-        # Without a key, nobody can name this order again: whatever its caller sends later is an
-        # order of its own. One attempt that is never repeated is therefore at most one run, and
-        # there is nothing to claim.
-        reply.settle(await self.runner.send(request))
+    async def _run_once(
+        self, request: requests.CallerRequest, future: results.ResultFuture
+    ) -> None:
+        # An order without a key cannot be repeated: whatever its caller sends later is a new
+        # order. A single attempt therefore runs at most once, and no claim is needed.
+        future.set_result(await self.runner.send(request))
 
 
-async def _once(body: bytes) -> collections.abc.AsyncIterator[bytes]:
+async def _single_chunk(body: bytes) -> collections.abc.AsyncIterator[bytes]:
     yield body
--- a/toucanhold/orders/issued.py
+++ b/toucanhold/orders/issued.py
@@ -1,4 +1,4 @@
-"""Orders under keys that an entry issued: they need no call to the key-value service."""
+"""Issues order keys and executes orders under them without the key-value service."""
 
 import collections.abc
 import heapq
@@ -18,19 +18,22 @@
 MAX_USED_KEYS = 50_000
 MAX_KEPT_ANSWERS_BYTES = 4 * 1024 * 1024
 MAX_KEYS_PER_REQUEST = 100
-MAX_STORED_AT_ONCE = 64
+MAX_CONCURRENT_STORES = 64
 FULL_RETRY_AFTER_S = 5.0
-ELSEWHERE_RETRY_AFTER_S = 1.0
+WRONG_ENTRY_RETRY_AFTER_S = 1.0
 
 LOGGER = logging.getLogger(__name__)
 
 
 @attrs.define(eq=False)
 class _UsedKey:
-    """An order key that this process has run, or runs.
+    """An issued key whose order this process has run or is running.
 
-    :ivar key: key of the claim that stands for it if this entry is stopped
-    :ivar record: None while it runs
+    :ivar key: key of the claim under which the outcome is stored when this entry stops
+    :ivar fingerprint: SHA-256 of the order's method, path and body
+    :ivar expires_at_s: end of the key's validity on trio's clock
+    :ivar ends_at_s: POSIX time of the order's deadline
+    :ivar record: outcome of the order; None while it runs
     """
 
     key: str
@@ -42,11 +45,14 @@
 
 @attrs.define(eq=False)
 class IssuedKeyExecutor:
-    """Runs orders whose key this process issued; the claims are its own memory.
+    """Executes orders whose key this process issued; used keys are kept in memory.
 
-    That is at most once because no other process ever runs such a key, and this one forgets a
-    key only when it is too old to be run. What it costs: with the process goes the knowledge,
-    and a repeat elsewhere is told "unknown".
+    An order runs at most once because no other process runs such a key, and this process forgets
+    a used key only after the key has expired. The cost is that outcomes are lost when the process
+    crashes: a repeat at another entry then gets "outcome unknown".
+
+    :ivar claims: stores the outcomes when this entry stops
+    :ivar wall_clock: returns POSIX time in seconds
     """
 
     roster: roster.Roster
@@ -54,13 +60,16 @@
     claims: claims.ClaimStore
     signer: keys.KeySigner
     wall_clock: collections.abc.Callable[[], float] = time.time
-    _used: dict[str, _UsedKey] = attrs.field(factory=dict, init=False)
-    _by_age: list[tuple[float, int, _UsedKey]] = attrs.field(factory=list, init=False)
-    _ids: collections.abc.Iterator[int] = attrs.field(factory=itertools.count, init=False)
-    _kept_bytes: int = attrs.field(default=0, init=False)
+    _used_keys: dict[str, _UsedKey] = attrs.field(factory=dict, init=False)
+    _by_expiry: list[tuple[float, int, _UsedKey]] = attrs.field(factory=list, init=False)
+    _tie_breakers: collections.abc.Iterator[int] = attrs.field(factory=itertools.count, init=False)
+    _kept_body_bytes: int = attrs.field(default=0, init=False)
 
     def issue(self, workspace: str, count: int) -> list[str]:
-        """Return new keys; nothing is kept of them until they are used."""
+        """Return ``count`` new keys, at most ``MAX_KEYS_PER_REQUEST``.
+
+        Issued keys take no memory until they are used.
+        """
         own = self.roster.own
         expires_at_s = trio.current_time() + keys.VALID_S
         return [
@@ -68,76 +77,83 @@
             for _ in range(min(count, MAX_KEYS_PER_REQUEST))
         ]
 
-    async def result(self, request: requests.CallerRequest) -> results.Result:
-        """Return how an order ended, or what its repeat is told."""
+    async def execute(self, request: requests.CallerRequest) -> results.Result:
+        """Run an order and return its result, or return the result for a repeat of it."""
         try:
-            key = self.signer.read(request.idempotency_key, request.workspace)
+            key = self.signer.verify(request.idempotency_key, request.workspace)
         except keys.InvalidKeyError as error:
-            return results.refused(requests.Problem.MALFORMED, f"the order key: {error}")
+            return results.refusal(requests.Problem.MALFORMED, f"invalid order key: {error}")
         own = self.roster.own
         if (key.entry, key.boot) != (own.entry, own.boot):
-            return await self._elsewhere(request, key)
+            return await self._result_elsewhere(request, key)
         self._forget_expired()
-        claim_key, fingerprint = records.key_of(request), records.fingerprint_of(request)
-        used = self._used.get(claim_key)
+        claim_key, fingerprint = records.claim_key(request), records.order_fingerprint(request)
+        used = self._used_keys.get(claim_key)
         if used is not None:
-            return self._repeat(used, fingerprint)
+            return self._repeat_result(used, fingerprint)
         if trio.current_time() >= key.expires_at_s:
-            return results.unknown("the order key has expired; whether it ever ran is forgotten")
-        if len(self._used) >= MAX_USED_KEYS:
-            # Forgetting one that can still be presented would run it twice.
+            return results.outcome_unknown(
+                "the order key has expired; whether it ever ran is forgotten"
+            )
+        if len(self._used_keys) >= MAX_USED_KEYS:
+            # Forgetting a key that is still valid could run its order twice.
             detail = f"{MAX_USED_KEYS} order keys are in use"
-            return results.refused(requests.Problem.OVERLOADED, detail, FULL_RETRY_AFTER_S)
-        rest_s = max(0.0, request.deadline_s - trio.current_time())
-        used = _UsedKey(claim_key, fingerprint, key.expires_at_s, self.wall_clock() + rest_s)
-        self._used[claim_key] = used
-        return await self.runner.start(self._run, request, used)
-
-    async def hand_over(self, limit_s: float) -> int:
-        """Store what is known of used keys, so that it outlives this process; return the rest."""
-        ended = [used for used in self._used.values() if used.record is not None]
-        rest = {used.key for used in ended}
-        # The newest first: these are the ones whose callers may still repeat them.
-        waiting = iter(reversed(ended))
-        with trio.move_on_after(limit_s):
+            return results.refusal(requests.Problem.OVERLOADED, detail, FULL_RETRY_AFTER_S)
+        remaining_s = max(0.0, request.deadline_s - trio.current_time())
+        used = _UsedKey(claim_key, fingerprint, key.expires_at_s, self.wall_clock() + remaining_s)
+        self._used_keys[claim_key] = used
+        return await self.runner.run_detached(self._run, request, used)
+
+    async def persist_outcomes(self, timeout_s: float) -> int:
+        """Store the outcomes of used keys so that other entries can answer repeats.
+
+        :return: number of outcomes that could not be stored within ``timeout_s``
+        """
+        finished = [used for used in self._used_keys.values() if used.record is not None]
+        unstored = {used.key for used in finished}
+        # The latest outcomes are stored first, since their callers may still repeat them.
+        pending = iter(reversed(finished))
+        with trio.move_on_after(timeout_s):
             async with trio.open_nursery() as nursery:
-                for _ in range(MAX_STORED_AT_ONCE):
-                    nursery.start_soon(self._store_all, waiting, rest)
-        return len(rest)
+                for _ in range(MAX_CONCURRENT_STORES):
+                    nursery.start_soon(self._store_outcomes, pending, unstored)
+        return len(unstored)
 
-    async def _store_all(self, waiting: collections.abc.Iterator[_UsedKey], rest: set[str]) -> None:
-        for used in waiting:
+    async def _store_outcomes(
+        self, pending: collections.abc.Iterator[_UsedKey], unstored: set[str]
+    ) -> None:
+        for used in pending:
             try:
                 await self.claims.claim(used.key, used.record)
-                rest.discard(used.key)
+                unstored.discard(used.key)
             except claims.ClaimUnavailableError as error:
-                LOGGER.debug("the outcome of %s is not stored: %s", used.key, error)
+                LOGGER.debug("cannot store the outcome of claim %s: %s", used.key, error)
 
-    def _repeat(self, used: _UsedKey, fingerprint: bytes) -> results.Result:
+    def _repeat_result(self, used: _UsedKey, fingerprint: bytes) -> results.Result:
         if used.fingerprint != fingerprint:
             return results.key_reused()
         if used.record is None:
             return results.in_progress(used.ends_at_s - self.wall_clock())
         own = self.roster.own
-        return results.of_record(used.record, fingerprint, own.boot, own.entry, self.wall_clock())
+        return results.from_record(used.record, fingerprint, own.boot, own.entry, self.wall_clock())
 
     async def _run(
-        self, request: requests.CallerRequest, reply: results.Reply, used: _UsedKey
+        self, request: requests.CallerRequest, future: results.ResultFuture, used: _UsedKey
     ) -> None:
         own = self.roster.own
-        result = results.unknown("internal error")
+        result = results.outcome_unknown("internal error")
         try:
             result = await self.runner.send(request)
         finally:
-            claimed = records.ClaimRecord(
+            claim = records.ClaimRecord(
                 request.request_id, used.fingerprint, own.entry, own.boot, used.ends_at_s
             )
-            used.record = self._bounded(results.to_record(claimed, result))
+            used.record = self._within_answer_limit(results.to_record(claim, result))
             if used.record is None:
-                del self._used[used.key]
+                del self._used_keys[used.key]
             else:
-                heapq.heappush(self._by_age, (used.expires_at_s, next(self._ids), used))
-        reply.settle(result)
+                heapq.heappush(self._by_expiry, (used.expires_at_s, next(self._tie_breakers), used))
+        future.set_result(result)
         events.log(
             LOGGER,
             events.Event.ISSUED_KEY_USED,
@@ -145,44 +161,48 @@
             state="unused" if used.record is None else used.record.state.value,
         )
 
-    def _bounded(self, record: records.ClaimRecord | None) -> records.ClaimRecord | None:
+    def _within_answer_limit(
+        self, record: records.ClaimRecord | None
+    ) -> records.ClaimRecord | None:
         if record is None or record.answer is None or record.answer.body is None:
             return record
         size_bytes = len(record.answer.body)
-        if self._kept_bytes + size_bytes > MAX_KEPT_ANSWERS_BYTES:
+        if self._kept_body_bytes + size_bytes > MAX_KEPT_ANSWERS_BYTES:
             return attrs.evolve(record, answer=attrs.evolve(record.answer, body=None))
-        self._kept_bytes += size_bytes
+        self._kept_body_bytes += size_bytes
         return record
 
     def _forget_expired(self) -> None:
         now_s = trio.current_time()
-        while self._by_age and self._by_age[0][0] <= now_s:
-            used = heapq.heappop(self._by_age)[2]
-            del self._used[used.key]
+        while self._by_expiry and self._by_expiry[0][0] <= now_s:
+            used = heapq.heappop(self._by_expiry)[2]
+            del self._used_keys[used.key]
             if used.record.answer is not None and used.record.answer.body is not None:
-                self._kept_bytes -= len(used.record.answer.body)
+                self._kept_body_bytes -= len(used.record.answer.body)
 
-    async def _elsewhere(
+    async def _result_elsewhere(
         self, request: requests.CallerRequest, key: keys.IssuedKey
     ) -> results.Result:
         for member in self.roster.others():
             if (member.entry, member.boot) == (key.entry, key.boot):
-                return results.refused(
+                return results.refusal(
                     requests.Problem.WRONG_ENTRY,
-                    f"this sending did not run; only {key.entry} runs this key",
-                    ELSEWHERE_RETRY_AFTER_S,
+                    f"this request did not run; only entry {key.entry} accepts this order key",
+                    WRONG_ENTRY_RETRY_AFTER_S,
                     member.callers_address,
                 )
-        return await self._handed_over(request)
+        return await self._persisted_result(request)
 
-    async def _handed_over(self, request: requests.CallerRequest) -> results.Result:
+    async def _persisted_result(self, request: requests.CallerRequest) -> results.Result:
         try:
-            record = await self.claims.read(records.key_of(request))
+            record = await self.claims.read(records.claim_key(request))
         except (keyvalue.KeyValueError, records.RecordError) as error:
-            return results.unknown(f"the process that issued the key is gone: {error}")
+            return results.outcome_unknown(f"the process that issued the key is gone: {error}")
         if record is None:
-            return results.unknown("the process that issued the key is gone, with what it knew")
+            return results.outcome_unknown(
+                "the process that issued the key is gone, with what it knew"
+            )
         own = self.roster.own
-        return results.of_record(
-            record, records.fingerprint_of(request), own.boot, own.entry, self.wall_clock()
+        return results.from_record(
+            record, records.order_fingerprint(request), own.boot, own.entry, self.wall_clock()
         )
--- a/toucanhold/orders/keys.py
+++ b/toucanhold/orders/keys.py
@@ -1,4 +1,4 @@
-"""Order keys that an entry issues: only the process that issued a key ever runs it."""
+"""Signs and verifies the order keys that entries issue to callers."""
 
 import base64
 import hashlib
@@ -14,20 +14,22 @@
 VALID_S = 3600.0
 NONCE_BYTES = 12
 MAC_BYTES = 16
-DERIVATION = b"toucanhold order keys"
+DERIVATION_LABEL = b"toucanhold order keys"
 
 
 class InvalidKeyError(Exception):
-    """A text that no entry has issued to this workspace."""
+    """An order key that no entry issued to this workspace."""
 
 
 @attrs.frozen
 class IssuedKey:
-    """What an order key says.
+    """The content of an order key; only the process that issued the key runs its order.
 
-    :ivar entry: the entry that issued it
+    :ivar entry: name of the entry that issued the key
     :ivar boot: unique to that entry's process
-    :ivar expires_at_s: end of its validity on that process's own monotonic clock
+    :ivar workspace: the workspace that may use the key
+    :ivar expires_at_s: end of the key's validity on the monotonic clock of that process
+    :ivar nonce: random bytes that make the key unique
     """
 
     entry: str
@@ -39,55 +41,57 @@
 
 @attrs.frozen
 class KeySigner:
-    """Writes and reads order keys.
+    """Issues signed order keys and verifies them.
 
-    :ivar secrets: known to the entries alone; keys under any of them are read
+    :ivar secrets: signing keys derived from the secrets shared by the entries; a signature by any
+        of them is accepted
     """
 
     secrets: keyring.KeyRing = attrs.field(converter=lambda keys: keys.derived(_derive))
 
     def issue(self, entry: str, boot: str, workspace: str, expires_at_s: float) -> str:
-        """Return a new key."""
+        """Return a new signed key."""
         key = IssuedKey(entry, boot, workspace, expires_at_s, os.urandom(NONCE_BYTES))
         body = msgpack.packb(attrs.astuple(key))
-        return _text(body, _mac(self.secrets.primary, body))
+        return _to_text(body, _mac(self.secrets.primary, body))
 
-    def read(self, text: str, workspace: str) -> IssuedKey:
-        """Return what a key says.
+    def verify(self, text: str, workspace: str) -> IssuedKey:
+        """Verify a key and return its content.
 
-        :raises InvalidKeyError: when it was not issued to ``workspace``
+        :raises InvalidKeyError: when the key is malformed, wrongly signed or issued to another
+            workspace
         """
-        # Unsigned, anyone could name a process that never existed, and "unknown" would be said
-        # of orders that nobody ever sent; or name this one, and fill its memory.
+        # Without a signature, anyone could name a process that never existed and get "outcome
+        # unknown" for orders that were never sent, or name this process and fill its memory.
         try:
             body, mac = map(_decode, text.removeprefix(PREFIX).split("."))
-            if text != _text(body, mac):
-                # Unused bits of base64 may differ: two spellings of one key would be two orders.
-                raise InvalidKeyError("it was changed")
+            if text != _to_text(body, mac):
+                # Unused base64 bits may differ: two encodings of one key would be two orders.
+                raise InvalidKeyError("not in canonical base64 form")
             if self.secrets.find(mac, lambda secret: _mac(secret, body)) is None:
-                raise InvalidKeyError("its signature is wrong")
+                raise InvalidKeyError("wrong signature")
             key = IssuedKey(*msgpack.unpackb(body))
         except (ValueError, TypeError, msgpack.UnpackException) as error:
-            raise InvalidKeyError("it is malformed") from error
+            raise InvalidKeyError("malformed") from error
         if key.workspace != workspace:
-            raise InvalidKeyError("it was issued to another workspace")
+            raise InvalidKeyError("issued to another workspace")
         return key
 
 
 def is_issued(text: str) -> bool:
-    """Tell whether a key claims to be one that an entry issued."""
+    """Return whether a key has the prefix of issued keys; its signature is not checked."""
     return text.startswith(PREFIX)
 
 
 def _derive(key: bytes) -> bytes:
-    return hmac.digest(key, DERIVATION, hashlib.sha256)
+    return hmac.digest(key, DERIVATION_LABEL, hashlib.sha256)
 
 
 def _mac(secret: bytes, body: bytes) -> bytes:
     return hmac.digest(secret, body, hashlib.sha256)[:MAC_BYTES]
 
 
-def _text(body: bytes, mac: bytes) -> str:
+def _to_text(body: bytes, mac: bytes) -> str:
     return f"{PREFIX}{_encode(body)}.{_encode(mac)}"
 
 
--- a/toucanhold/orders/records.py
+++ b/toucanhold/orders/records.py
@@ -1,4 +1,4 @@
-"""What the key-value service keeps of an order."""
+"""Defines and encodes the claim records of orders in the key-value service."""
 
 import enum
 import hashlib
@@ -15,11 +15,15 @@
 
 
 class RecordError(Exception):
-    """A stored claim is not readable."""
+    """A stored claim cannot be decoded."""
 
 
 class ClaimState(enum.Enum):
-    """What the holder of a claim has said about its order."""
+    """State of an order as recorded by the entry that claimed it.
+
+    ``CLAIMED``: the order may be running; ``RAN``: it ran and was answered; ``UNKNOWN``: it may
+    have run, and its answer was lost.
+    """
 
     CLAIMED = "claimed"
     RAN = "ran"
@@ -28,9 +32,10 @@
 
 @attrs.frozen
 class KeptAnswer:
-    """An answer as it is kept for repeats.
+    """An answer stored for repeats of its order.
 
-    :ivar body: None where it was too large to be kept
+    :ivar status: HTTP status
+    :ivar body: None if the body exceeds ``KEPT_BODY_LIMIT_BYTES``
     """
 
     status: int
@@ -40,14 +45,14 @@
 
 @attrs.frozen
 class ClaimRecord:
-    """The value of a claim.
+    """The value of a claim in the key-value service.
 
-    :ivar attempt: unique to the attempt that wrote it
-    :ivar fingerprint: hash of the order itself, to tell another order with the same key
-    :ivar entry: the entry that holds the claim
+    :ivar attempt: unique to the attempt that wrote the claim
+    :ivar fingerprint: SHA-256 of the order, to detect another order under the same key
+    :ivar entry: name of the entry that holds the claim
     :ivar boot: unique to that entry's process
-    :ivar ends_at_s: POSIX time after which its holder no longer waits for an answer
-    :ivar answer: the answer, in state RAN
+    :ivar ends_at_s: POSIX time after which the holder no longer waits for an answer
+    :ivar answer: the answer; only in state ``RAN``
     """
 
     attempt: str
@@ -59,38 +64,39 @@
     answer: KeptAnswer | None = None
 
 
-def key_of(request: requests.CallerRequest) -> str:
-    """Return the key of an order's claim: one for each workspace, service and idempotency key."""
-    # Callers' keys may hold any character and be long, and two workspaces may use the same one.
+def claim_key(request: requests.CallerRequest) -> str:
+    """Return the key of an order's claim, unique to workspace, service and idempotency key."""
+    # Idempotency keys are hashed since they may be long and contain any character. The workspace
+    # is part of the hash since two workspaces may use the same key.
     digest = _hash(request.workspace, request.service.name, request.idempotency_key)
     return CLAIMS_PREFIX + digest.hex()
 
 
-def fingerprint_of(request: requests.CallerRequest) -> bytes:
-    """Return a hash of what the order does."""
+def order_fingerprint(request: requests.CallerRequest) -> bytes:
+    """Return the SHA-256 of the order's method, path and body."""
     return _hash(request.method, request.path, request.body)
 
 
-def keep(status: int, headers: client.Headers, body: bytes) -> KeptAnswer:
-    """Return the answer as it is kept."""
-    kept = body if len(body) <= KEPT_BODY_LIMIT_BYTES else None
-    return KeptAnswer(status, tuple((key, value) for key, value in headers), kept)
+def keep_answer(status: int, headers: client.Headers, body: bytes) -> KeptAnswer:
+    """Return the answer for storage, without a body over ``KEPT_BODY_LIMIT_BYTES``."""
+    kept_body = body if len(body) <= KEPT_BODY_LIMIT_BYTES else None
+    return KeptAnswer(status, tuple((key, value) for key, value in headers), kept_body)
 
 
 def encode(record: ClaimRecord) -> bytes:
-    """Return the stored form."""
+    """Return the stored bytes of a record."""
     return codec.pack_tagged(RECORD_TAG, record)
 
 
 def decode(data: bytes) -> ClaimRecord:
-    """Read the stored form.
+    """Return the record of stored bytes.
 
-    :raises RecordError: when it is malformed
+    :raises RecordError: when they are malformed or have another tag
     """
     try:
         tag, plain = codec.unpack_tagged(data)
         if tag != RECORD_TAG:
-            raise RecordError(f"a claim of an unknown kind {tag!r}")
+            raise RecordError(f"claim tag {tag!r} instead of {RECORD_TAG!r}")
         return codec.from_plain_tolerant(plain, ClaimRecord)
     except codec.CodecError as error:
         raise RecordError(f"malformed claim: {error}") from error
@@ -100,6 +106,6 @@
     digest = hashlib.sha256()
     for part in parts:
         data = part.encode() if isinstance(part, str) else part
-        # The length goes before each part: "ab" + "c" must not hash like "a" + "bc".
+        # Each part is prefixed with its length so that "ab" + "c" and "a" + "bc" differ.
         digest.update(len(data).to_bytes(8, "big") + data)
     return digest.digest()
--- a/toucanhold/orders/running.py
+++ b/toucanhold/orders/running.py
@@ -1,4 +1,4 @@
-"""Sends orders, each in a task of its own."""
+"""Runs each order in a task of its own, independent of its caller's connection."""
 
 import collections.abc
 import contextlib
@@ -13,77 +13,84 @@
 LOGGER = logging.getLogger(__name__)
 
 
-# Sends a request to one backend server, as :meth:`dispatch.Dispatcher.serve` does.
-Serve = collections.abc.Callable[
+# Sends a request to one backend server, like :meth:`dispatch.Dispatcher.serve`.
+ServeRequest = collections.abc.Callable[
     [requests.CallerRequest], contextlib.AbstractAsyncContextManager[dispatch.Answer]
 ]
-Procedure = collections.abc.Callable[..., collections.abc.Awaitable[None]]
+OrderTask = collections.abc.Callable[..., collections.abc.Awaitable[None]]
 
 
 @attrs.define(eq=False)
 class OrderRunner:
-    """Runs orders' tasks: a caller who leaves does not cancel what was sent.
+    """Runs the tasks of orders; an order continues when its caller disconnects.
 
-    :ivar count: number of orders that run or whose outcome is not stored yet
+    :ivar serve: sends a request to one backend server
+    :ivar count: number of orders that are running or whose outcome is not stored yet
     """
 
-    serve: Serve
+    serve: ServeRequest
     count: int = attrs.field(default=0, init=False)
-    _ended: trio.Event = attrs.field(factory=trio.Event, init=False)
+    _order_ended: trio.Event = attrs.field(factory=trio.Event, init=False)
     _nursery: trio.Nursery | None = attrs.field(default=None, init=False)
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
-        """Run orders' tasks until cancelled."""
+        """Run the tasks of orders until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
             await trio.sleep_forever()
 
-    async def wait_idle(self, limit_s: float) -> int:
-        """Wait until every outcome is stored; return the number that is not."""
-        with trio.move_on_after(limit_s):
+    async def wait_idle(self, timeout_s: float) -> int:
+        """Wait until all outcomes are stored, at most for ``timeout_s``.
+
+        :return: number of orders whose outcome is not stored
+        """
+        with trio.move_on_after(timeout_s):
             while self.count:
-                await self._ended.wait()
+                await self._order_ended.wait()
         return self.count
 
-    async def start(
-        self, procedure: Procedure, request: requests.CallerRequest, *details: object
+    async def run_detached(
+        self, task: OrderTask, request: requests.CallerRequest, *args: object
     ) -> results.Result:
-        """Start ``procedure(request, reply, *details)`` and wait for its reply."""
-        reply = results.Reply()
-        self._nursery.start_soon(self._count, procedure, request, reply, *details)
-        await reply.settled.wait()
-        return reply.result
+        """Start ``task(request, future, *args)`` and wait for the future's result.
+
+        The task continues when the caller of this method is cancelled.
+        """
+        future = results.ResultFuture()
+        self._nursery.start_soon(self._run_counted, task, request, future, *args)
+        await future.done.wait()
+        return future.result
 
     async def send(self, request: requests.CallerRequest) -> results.Result:
-        """Send an order to one backend server and return how it ended."""
+        """Send an order to one backend server and return its result."""
         try:
             async with self.serve(request) as answer:
                 body = b"".join([chunk async for chunk in answer.chunks])
-                return results.Answered(answer.status, answer.headers, body)
+                return results.BufferedAnswer(answer.status, answer.headers, body)
         except requests.RequestError as error:
             return error
         except Exception as error:
-            # As in _count, and the outcome is still recorded.
-            LOGGER.exception("request %s: an order's task failed", request.request_id)
-            return results.unknown(f"internal error: {error!r}")
+            # The order may have run, as in _run_counted; its outcome is still recorded.
+            LOGGER.exception("request %s: sending the order failed", request.request_id)
+            return results.outcome_unknown(f"internal error: {error!r}")
 
-    async def _count(
+    async def _run_counted(
         self,
-        procedure: Procedure,
+        task: OrderTask,
         request: requests.CallerRequest,
-        reply: results.Reply,
-        *details: object,
+        future: results.ResultFuture,
+        *args: object,
     ) -> None:
         self.count += 1
         try:
-            await procedure(request, reply, *details)
+            await task(request, future, *args)
         except Exception as error:
-            # One order's failure must end neither the others nor the entry. It may have been
-            # sent, so it must not pass for a refusal either.
-            LOGGER.exception("request %s: an order's task failed", request.request_id)
-            reply.settle(results.unknown(f"internal error: {error!r}"))
+            # A failing order must not end other orders or the entry. The order may have been
+            # sent, so its caller must not be told that it did not run.
+            LOGGER.exception("request %s: the task of the order failed", request.request_id)
+            future.set_result(results.outcome_unknown(f"internal error: {error!r}"))
         finally:
             self.count -= 1
-            self._ended.set()
-            self._ended = trio.Event()
+            self._order_ended.set()
+            self._order_ended = trio.Event()
