--- a/tests/test_keyring.py
+++ b/tests/test_keyring.py
@@ -31,8 +31,8 @@
         await stream.aclose()
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(side, handshake.as_dialler, near, "a", dialler)
-        nursery.start_soon(side, handshake.as_listener, far, "b", listener)
+        nursery.start_soon(side, handshake.run_as_dialler, near, "a", dialler)
+        nursery.start_soon(side, handshake.run_as_listener, far, "b", listener)
     return outcomes["a"], outcomes["b"]
 
 
--- a/tests/test_peer_streams.py
+++ b/tests/test_peer_streams.py
@@ -191,14 +191,14 @@
 
     async def _dial(self, stream):
         framed = frames.FrameStream(stream, 1024)
-        await handshake.as_dialler(framed, handshake.Identity("b", "1"), KEY)
+        await handshake.run_as_dialler(framed, handshake.Identity("b", "1"), KEY)
 
     async def _listen_to(self, stream, other_side):
         framed = frames.FrameStream(stream, 1024)
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(other_side)
-                await handshake.as_listener(framed, handshake.Identity("a", "1"), KEY)
+                await handshake.run_as_listener(framed, handshake.Identity("a", "1"), KEY)
         except* handshake.HandshakeError as group:
             raise group.exceptions[0] from None
 
@@ -227,7 +227,7 @@
         near, far = trio.testing.memory_stream_pair()
         await near.send_all((2**31).to_bytes(4))
         with self.assertRaises(frames.FrameError):
-            await handshake.as_listener(
+            await handshake.run_as_listener(
                 frames.FrameStream(far, 1024), handshake.Identity("a", "1"), KEY
             )
 
@@ -246,6 +246,6 @@
         hello = messages.Hello(99, "b", "1", bytes(32))
         await frames.FrameStream(near, 1024).send([messages.encode(hello)])
         with self.assertRaisesRegex(handshake.HandshakeError, "protocol 99"):
-            await handshake.as_listener(
+            await handshake.run_as_listener(
                 frames.FrameStream(far, 1024), handshake.Identity("a", "1"), KEY
             )
--- a/toucanhold/peers/__init__.py
+++ b/toucanhold/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Streams between entries."""
+"""Connects entries by authenticated streams and exchanges state over them."""
--- a/toucanhold/peers/frames.py
+++ b/toucanhold/peers/frames.py
@@ -1,4 +1,4 @@
-"""Frames on a byte stream: four bytes of length, then the body."""
+"""Splits a byte stream into frames, each a body after its length in four big-endian bytes."""
 
 import collections.abc
 
@@ -10,26 +10,28 @@
 
 
 class FrameError(Exception):
-    """The stream ended, broke, or carries a frame beyond its limit."""
+    """The stream has ended or is broken, or a frame exceeds the size limit."""
 
 
 @attrs.define(eq=False)
 class FrameStream:
-    """Sends and receives frames.
+    """Sends and receives frames on a byte stream.
 
-    :ivar limit_bytes: largest body that is received; small until the peer has proved itself
-    :ivar idle_timeout_s: longest time without a single byte
+    :ivar max_body_bytes: largest body accepted; small until the peer is authenticated
+    :ivar idle_timeout_s: longest time to wait for the next bytes
+    :ivar received_bytes: total number of bytes received, lengths included
+    :ivar sent_bytes: total number of bytes sent, lengths included
     """
 
     stream: trio.abc.Stream
-    limit_bytes: int
+    max_body_bytes: int
     idle_timeout_s: float = float("inf")
     received_bytes: int = 0
     sent_bytes: int = 0
     _buffer: bytearray = attrs.field(factory=bytearray, init=False)
 
     async def send(self, bodies: collections.abc.Iterable[bytes]) -> None:
-        """Send each body in a frame.
+        """Send each body as a frame.
 
         :raises FrameError: when the stream is broken
         """
@@ -41,22 +43,24 @@
         self.sent_bytes += len(data)
 
     async def receive(self) -> bytes:
-        """Return the next body.
+        """Return the body of the next frame.
 
-        :raises FrameError: when the stream has ended or the frame is too large
-        :raises trio.TooSlowError: when nothing comes in for too long
+        :raises FrameError: when the stream has ended or is broken, or the frame is too large
+        :raises trio.TooSlowError: when no byte arrives within ``idle_timeout_s``
         """
-        await self._fill(LENGTH_BYTES)
-        size = int.from_bytes(self._buffer[:LENGTH_BYTES])
-        if size > self.limit_bytes:
-            raise FrameError(f"a frame of {size} bytes exceeds {self.limit_bytes}")
-        await self._fill(LENGTH_BYTES + size)
-        body = bytes(self._buffer[LENGTH_BYTES : LENGTH_BYTES + size])
-        del self._buffer[: LENGTH_BYTES + size]
+        await self._fill_buffer(LENGTH_BYTES)
+        size_bytes = int.from_bytes(self._buffer[:LENGTH_BYTES])
+        if size_bytes > self.max_body_bytes:
+            raise FrameError(
+                f"frame of {size_bytes} bytes exceeds the limit of {self.max_body_bytes} bytes"
+            )
+        await self._fill_buffer(LENGTH_BYTES + size_bytes)
+        body = bytes(self._buffer[LENGTH_BYTES : LENGTH_BYTES + size_bytes])
+        del self._buffer[: LENGTH_BYTES + size_bytes]
         return body
 
-    async def _fill(self, size: int) -> None:
-        while len(self._buffer) < size:
+    async def _fill_buffer(self, size_bytes: int) -> None:
+        while len(self._buffer) < size_bytes:
             try:
                 with trio.fail_after(self.idle_timeout_s):
                     data = await self.stream.receive_some(READ_SIZE_BYTES)
--- a/toucanhold/peers/handshake.py
+++ b/toucanhold/peers/handshake.py
@@ -1,4 +1,4 @@
-"""Mutual authentication at the start of a stream between entries."""
+"""Authenticates both sides at the start of a stream between entries."""
 
 import functools
 import hashlib
@@ -18,13 +18,14 @@
 
 
 class HandshakeError(Exception):
-    """The other side is not a peer: wrong version, wrong key, or no handshake at all."""
+    """The other side is not a valid peer: wrong protocol version, wrong key or no handshake."""
 
 
 @attrs.frozen
 class Identity:
-    """An entry's name and its process.
+    """Identifies an entry and its process.
 
+    :ivar entry: name of the entry
     :ivar boot: unique to the process: a restarted entry has the same name and another boot
     """
 
@@ -32,37 +33,45 @@
     boot: str
 
 
-async def as_dialler(stream: frames.FrameStream, own: Identity, keys: keyring.KeyRing) -> Identity:
-    """Authenticate with the entry that was dialled; return who it is.
+async def run_as_dialler(
+    stream: frames.FrameStream, own: Identity, keys: keyring.KeyRing
+) -> Identity:
+    """Run the handshake with the entry that this entry dialled.
 
-    :raises HandshakeError: when it does not prove that it has the key
+    :return: the identity of the other entry
+    :raises HandshakeError: when the other side does not prove that it has the key
     :raises frames.FrameError: when the stream breaks
     """
-    mine = _hello(own)
-    await _send(stream, mine)
-    theirs = await _receive_hello(stream)
-    await _send(stream, messages.Proof(_mac(keys.primary, DIALLER, mine, theirs)))
-    used = keyring.KeyRing((keys.primary,))
-    await _check(
-        stream, used, functools.partial(_mac, role=LISTENER, dialler=mine, listener=theirs)
+    own_hello = _hello(own)
+    await _send(stream, own_hello)
+    peer_hello = await _receive_hello(stream)
+    await _send(stream, messages.Proof(_mac(keys.primary, DIALLER, own_hello, peer_hello)))
+    primary_only = keyring.KeyRing((keys.primary,))
+    await _verify_proof(
+        stream,
+        primary_only,
+        functools.partial(_mac, role=LISTENER, dialler=own_hello, listener=peer_hello),
     )
-    return Identity(theirs.entry, theirs.boot)
+    return Identity(peer_hello.entry, peer_hello.boot)
 
 
-async def as_listener(stream: frames.FrameStream, own: Identity, keys: keyring.KeyRing) -> Identity:
-    """Authenticate with the entry that dialled; return who it is.
+async def run_as_listener(
+    stream: frames.FrameStream, own: Identity, keys: keyring.KeyRing
+) -> Identity:
+    """Run the handshake with an entry that dialled this entry.
 
-    :raises HandshakeError: when it does not prove that it has the key
+    :return: the identity of the other entry
+    :raises HandshakeError: when the other side does not prove that it has one of the keys
     :raises frames.FrameError: when the stream breaks
     """
-    theirs = await _receive_hello(stream)
-    mine = _hello(own)
-    await _send(stream, mine)
-    # The dialler proves itself first, so a stranger gets no proof out of this entry.
-    proof = functools.partial(_mac, role=DIALLER, dialler=theirs, listener=mine)
-    key = await _check(stream, keys, proof)
-    await _send(stream, messages.Proof(_mac(key, LISTENER, theirs, mine)))
-    return Identity(theirs.entry, theirs.boot)
+    peer_hello = await _receive_hello(stream)
+    own_hello = _hello(own)
+    await _send(stream, own_hello)
+    # The dialler sends its proof first, so an unauthenticated client gets no proof from this entry.
+    compute_mac = functools.partial(_mac, role=DIALLER, dialler=peer_hello, listener=own_hello)
+    key = await _verify_proof(stream, keys, compute_mac)
+    await _send(stream, messages.Proof(_mac(key, LISTENER, peer_hello, own_hello)))
+    return Identity(peer_hello.entry, peer_hello.boot)
 
 
 def _hello(own: Identity) -> messages.Hello:
@@ -71,28 +80,32 @@
 
 
 def _mac(key: bytes, role: str, dialler: messages.Hello, listener: messages.Hello) -> bytes:
-    # Both challenges are covered, so a recorded handshake proves nothing later; the role is
-    # covered, so one side's proof cannot be reflected to it as the other's.
-    covered = [role, *attrs.astuple(dialler), *attrs.astuple(listener)]
-    return hmac.digest(key, msgpack.packb(covered), hashlib.sha256)
+    # The MAC covers both challenges, so a recorded handshake cannot be replayed. It covers the
+    # role, so a proof cannot be reflected to its sender as the other side's proof.
+    signed_fields = [role, *attrs.astuple(dialler), *attrs.astuple(listener)]
+    return hmac.digest(key, msgpack.packb(signed_fields), hashlib.sha256)
 
 
 async def _receive_hello(stream: frames.FrameStream) -> messages.Hello:
     hello = await _receive(stream, messages.Hello)
     if hello.protocol != messages.PROTOCOL_VERSION:
-        raise HandshakeError(f"protocol {hello.protocol}, not {messages.PROTOCOL_VERSION}")
+        raise HandshakeError(
+            f"protocol {hello.protocol} received, {messages.PROTOCOL_VERSION} expected"
+        )
     if len(hello.challenge) != CHALLENGE_BYTES or not hello.entry:
-        raise HandshakeError("malformed hello")
+        raise HandshakeError(
+            f"malformed hello: no entry name, or the challenge is not {CHALLENGE_BYTES} bytes long"
+        )
     return hello
 
 
-async def _check(
-    stream: frames.FrameStream, keys: keyring.KeyRing, expected: keyring.Derive
+async def _verify_proof(
+    stream: frames.FrameStream, keys: keyring.KeyRing, compute_mac: keyring.Derive
 ) -> bytes:
     proof = await _receive(stream, messages.Proof)
-    key = keys.find(proof.mac, expected)
+    key = keys.find(proof.mac, compute_mac)
     if key is None:
-        raise HandshakeError("the proof does not fit: another key, or a replayed handshake")
+        raise HandshakeError("invalid proof: the peer has another key or replays a handshake")
     return key
 
 
@@ -106,5 +119,5 @@
     except messages.MessageError as error:
         raise HandshakeError(f"malformed handshake: {error}") from error
     if not isinstance(message, kind):
-        raise HandshakeError(f"{kind.__name__} was expected, not {type(message).__name__}")
+        raise HandshakeError(f"{type(message).__name__} received, {kind.__name__} expected")
     return message
--- a/toucanhold/peers/holds.py
+++ b/toucanhold/peers/holds.py
@@ -1,4 +1,4 @@
-"""Spreading holds among entries, and making them durable as soon as any entry can."""
+"""Distributes holds among entries and stores them as soon as any entry can."""
 
 import collections.abc
 import logging
@@ -12,8 +12,9 @@
 from toucanhold.coordination import keyvalue
 from toucanhold.peers import exchange, messages
 
-# The entry that the operator asked goes first; the others step in when it cannot.
-OTHERS_WAIT_S = 2.0
+# The entry that received the operator's request stores the hold; the others wait this long before
+# they do it in its place.
+FALLBACK_DELAY_S = 2.0
 FIRST_BACKOFF_S = 0.25
 MAX_BACKOFF_S = 4.0
 
@@ -24,10 +25,10 @@
 
 @attrs.define(eq=False)
 class HoldBroadcaster:
-    """Passes holds on to every peer, and to the key-value service.
+    """Sends holds to every peer and stores them in the key-value service.
 
-    :ivar own: this entry's name
-    :ivar refresh: reads the accepted configuration
+    :ivar own: name of this entry
+    :ivar refresh: reads the accepted configuration from the key-value service
     """
 
     own: str
@@ -38,19 +39,19 @@
     rng: random.Random
 
     def __attrs_post_init__(self) -> None:
-        """Subscribe to what peers send."""
-        self.exchange.subscribe(messages.HoldNews, self._take)
-        # A peer that was away, or has just started, gets all holds before its first heartbeat:
-        # so an entry knows them by the time it believes itself up to date.
-        self.exchange.subscribe_connected(self._tell_all)
+        """Subscribe to the holds of peers and to new connections."""
+        self.exchange.subscribe(messages.HoldNews, self._receive_holds)
+        # A peer that reconnects or has just started receives all holds before the first heartbeat,
+        # so it has them by the time it considers itself up to date.
+        self.exchange.subscribe_connected(self._send_holds)
 
     def add_hold(self, hold: holds.Hold) -> None:
-        """Put a hold in force here and tell all peers."""
+        """Put a hold in force on this entry and send it to all peers."""
         self.configuration.add_hold(hold, "operator")
         self.exchange.broadcast(messages.HoldNews((hold,)))
 
     async def run(self) -> None:
-        """Make holds durable until cancelled."""
+        """Store holds in the key-value service until cancelled."""
         backoff_s = FIRST_BACKOFF_S
         while True:
             if not self.configuration.holds():
@@ -58,34 +59,35 @@
                 await self.configuration.wait_changed()
                 continue
             if not any(hold.made_by == self.own for hold in self.configuration.holds()):
-                await trio.sleep(OTHERS_WAIT_S * self.rng.uniform(0.8, 1.6))
+                await trio.sleep(FALLBACK_DELAY_S * self.rng.uniform(0.8, 1.6))
             await self._make_durable()
             if self.configuration.holds():
-                # Also after a success, when this entry cannot read the configuration that settles
-                # them: asking again at once would use up the service's calls.
+                # This back-off also applies after a success if this entry could not read the
+                # configuration that resolves the holds: retrying at once would use up the call
+                # rate of the service.
                 await trio.sleep(backoff_s * self.rng.uniform(0.5, 1.5))
                 backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
 
     async def _make_durable(self) -> None:
-        waiting = self.configuration.holds()
-        if not waiting:
+        pending = self.configuration.holds()
+        if not pending:
             return
         try:
-            await self.store.make_durable(waiting)
+            await self.store.make_durable(pending)
             await self.refresh()
         except (store.StoreError, keyvalue.KeyValueError) as error:
-            names = [hold.hold for hold in waiting]
+            names = [hold.hold for hold in pending]
             events.log(LOGGER, events.Event.HOLD_NOT_DURABLE, holds=names, reason=str(error))
 
-    def _take(self, peer: str, message: messages.HoldNews) -> None:
-        fresh = [
+    def _receive_holds(self, peer: str, message: messages.HoldNews) -> None:
+        new_holds = [
             hold for hold in message.holds if self.configuration.add_hold(hold, f"peer {peer}")
         ]
-        if fresh:
-            # Passed on, since the sender may be cut off from some of this entry's peers.
-            self.exchange.broadcast(messages.HoldNews(tuple(fresh)))
-
-    def _tell_all(self, peer: str) -> None:
-        known = self.configuration.holds()
-        if known:
-            self.exchange.send(peer, messages.HoldNews(known))
+        if new_holds:
+            # The holds are forwarded since the sender may not reach all of this entry's peers.
+            self.exchange.broadcast(messages.HoldNews(tuple(new_holds)))
+
+    def _send_holds(self, peer: str) -> None:
+        current_holds = self.configuration.holds()
+        if current_holds:
+            self.exchange.send(peer, messages.HoldNews(current_holds))
--- a/toucanhold/peers/messages.py
+++ b/toucanhold/peers/messages.py
@@ -1,4 +1,4 @@
-"""What entries tell each other."""
+"""Defines and encodes the messages between entries."""
 
 import attrs
 
@@ -12,12 +12,12 @@
 
 @attrs.frozen
 class Hello:
-    """The first frame of each side of a stream.
+    """The first message of each side of a stream.
 
     :ivar protocol: version of the protocol between entries
-    :ivar entry: the sender's name
+    :ivar entry: name of the sender
     :ivar boot: unique to the sender's process
-    :ivar challenge: random bytes that the other side's proof must cover
+    :ivar challenge: 32 random bytes that the other side's proof must cover
     """
 
     protocol: int
@@ -28,19 +28,22 @@
 
 @attrs.frozen
 class Proof:
-    """Shows that the sender has the shared key."""
+    """Proves that the sender has the shared key.
+
+    :ivar mac: HMAC-SHA-256 over the sender's role and both hellos
+    """
 
     mac: bytes
 
 
 @attrs.frozen
 class Heartbeat:
-    """Sent at an interval; its silence ends a stream.
+    """Sent periodically; a stream without heartbeats is closed.
 
     :ivar configuration: number of the configuration in force at the sender
-    :ivar plan_revision: highest revision of the plan that the sender knows
-    :ivar plan_digest: of the revisions of all domains: equal where both know the same plan
-    :ivar facts: what changed in the sender's knowledge of entries since its last heartbeat
+    :ivar plan_revision: highest revision of the plan known to the sender
+    :ivar plan_digest: CRC-32 of the revisions of all domains; equal if both know the same plan
+    :ivar facts: facts about entries that changed since the sender's last heartbeat
     """
 
     configuration: int = 0
@@ -51,21 +54,24 @@
 
 @attrs.frozen
 class ConfigurationAsk:
-    """Asks for what a reader at number ``known`` lacks."""
+    """Requests the changes of the configuration since number ``known``.
+
+    :ivar known: number of the configuration at the sender; 0 requests all parts
+    """
 
     known: int
 
 
 @attrs.frozen
 class ConfigurationNews:
-    """A part of the configuration that the receiver lacks."""
+    """The changes of the configuration that the receiver requested."""
 
     delta: snapshot.Delta
 
 
 @attrs.frozen
 class DomainRevision:
-    """The revision of one domain's plan."""
+    """The revision of the plan of one domain."""
 
     domain: str
     revision: int
@@ -73,42 +79,45 @@
 
 @attrs.frozen
 class PlanAsk:
-    """Asks for the plans of all domains that are later than ``known``, or missing there."""
+    """Requests the plans of all domains that are later than in ``known`` or missing from it."""
 
     known: tuple[DomainRevision, ...]
 
 
 @attrs.frozen
 class PlanNews:
-    """Plans that the receiver lacks."""
+    """The plans of domains that the receiver requested."""
 
     plans: tuple[plan.VersionedDomainPlan, ...]
 
 
 @attrs.frozen
 class HoldNews:
-    """Holds in force at the sender."""
+    """Holds that are in force at the sender."""
 
     holds: tuple[holds.Hold, ...]
 
 
 @attrs.frozen
 class StepDownAsk:
-    """Asks the receiver whether it can still act as planner of a term."""
+    """Asks the receiver whether it may still act as planner of a term."""
 
     term: plan.Term
 
 
 @attrs.frozen
 class StepDownAnswer:
-    """The sender cannot act as planner of this term any more."""
+    """The sender can no longer act as planner of a term.
+
+    :ivar fencing: fencing number of the term
+    """
 
     fencing: int
 
 
 @attrs.frozen
 class GenerationEnded:
-    """The sender saw a member leave this generation of a group."""
+    """The sender observed that a member left a generation of a group."""
 
     group: str
     generation: int
@@ -116,12 +125,13 @@
 
 @attrs.frozen
 class IncidentNews:
-    """A request was lost with its connection to a backend server.
+    """The connection to a backend server failed while a request ran on it.
 
     :ivar fingerprint: hash of the request
-    :ivar company: requests that ran there at that time
-    :ivar alone: whether the backend server was kept free for it
-    :ivar verdict: "pending", "died" or "dismissed"
+    :ivar boot_id: unique to the backend server's process
+    :ivar company: number of requests that ran there at the same time
+    :ivar alone: whether the request ran in isolation on the backend server
+    :ivar verdict: ``pending``, ``died`` or ``dismissed``
     """
 
     fingerprint: bytes
@@ -134,14 +144,20 @@
 
 @attrs.frozen
 class ClearedNews:
-    """A suspected request ran whole."""
+    """A suspected request ran to completion.
+
+    :ivar fingerprint: hash of the request
+    """
 
     fingerprint: bytes
 
 
 @attrs.frozen
 class IsolationNews:
-    """A backend server is to get no other work for a time; none to end that."""
+    """A backend server is reserved for an isolated request and gets no other work.
+
+    :ivar for_s: duration of the isolation; 0 ends it
+    """
 
     vm: str
     for_s: float
@@ -149,7 +165,7 @@
 
 Message = object
 
-# Each message between entries is listed here once; its class name is its kind on the wire.
+# All messages between entries. The name of a class is the kind of the message on the wire.
 KINDS: tuple[type, ...] = (
     Hello,
     Proof,
@@ -167,24 +183,24 @@
     IsolationNews,
 )
 
-_BY_NAME = {kind.__name__: kind for kind in KINDS}
+_CLASS_BY_KIND = {kind.__name__: kind for kind in KINDS}
 
 
 class MessageError(Exception):
-    """A frame that is no message."""
+    """A frame body is not a valid message, or a message cannot be encoded."""
 
 
 class UnknownKindError(MessageError):
-    """A message of a kind that this version does not know."""
+    """The message's kind is unknown to this version."""
 
 
 def encode(message: Message) -> bytes:
     """Return the frame body of a message.
 
-    :raises MessageError: when its class is not listed
+    :raises MessageError: when its class is not listed in ``KINDS``
     """
     kind = type(message).__name__
-    if _BY_NAME.get(kind) is not type(message):
+    if _CLASS_BY_KIND.get(kind) is not type(message):
         raise MessageError(f"{kind} is not listed in KINDS")
     return codec.pack_tagged(kind, message)
 
@@ -192,13 +208,13 @@
 def decode(body: bytes) -> Message:
     """Return the message of a frame body.
 
-    :raises UnknownKindError: when the kind is not known
+    :raises UnknownKindError: when the kind is not listed in ``KINDS``
     :raises MessageError: when the body is malformed
     """
     try:
         kind, plain = codec.unpack_tagged(body)
-        if kind not in _BY_NAME:
+        if kind not in _CLASS_BY_KIND:
             raise UnknownKindError(f"unknown kind {kind!r}")
-        return codec.from_plain_tolerant(plain, _BY_NAME[kind])
+        return codec.from_plain_tolerant(plain, _CLASS_BY_KIND[kind])
     except codec.CodecError as error:
         raise MessageError(str(error)) from error
--- a/toucanhold/peers/revisions.py
+++ b/toucanhold/peers/revisions.py
@@ -1,4 +1,4 @@
-"""Passing configuration and plan on: whoever is behind a peer gets from it what is missing."""
+"""Synchronises configuration and plan between entries by comparing revisions."""
 
 import logging
 import zlib
@@ -11,23 +11,27 @@
 from toucanhold.peers import exchange, messages
 from toucanhold.plans import plan
 
-ASK_INTERVAL_S = 1.0
+CONFIGURATION_REQUEST_INTERVAL_S = 1.0
 SOURCE = "peer"
 
 LOGGER = logging.getLogger(__name__)
 
 
 @attrs.frozen
-class _Heard:
-    """What a peer's last heartbeat said, and for which own digest its plan was asked for."""
+class _PeerRevisions:
+    """The revisions in a peer's last heartbeat.
+
+    :ivar configuration: number of the configuration in force at the peer
+    :ivar requested_digests: own and peer's plan digest when the peer's plan was last requested
+    """
 
     configuration: int
-    asked_digests: tuple[int, int] = (0, 0)
+    requested_digests: tuple[int, int] = (0, 0)
 
 
 @attrs.define(eq=False)
 class RevisionSync:
-    """Composes this entry's heartbeats and acts on those of its peers."""
+    """Composes heartbeats and requests newer configurations and plans from peers."""
 
     exchange: exchange.Exchange
     configuration: holder.ConfigurationHolder
@@ -35,20 +39,20 @@
     plans: plan.PlanHolder
     roster: roster.Roster
     facts: facts.FactTable
-    _heard: dict[str, _Heard] = attrs.field(factory=dict, init=False)
-    _next_ask_s: float = attrs.field(default=float("-inf"), init=False)
+    _peer_revisions: dict[str, _PeerRevisions] = attrs.field(factory=dict, init=False)
+    _next_request_at_s: float = attrs.field(default=float("-inf"), init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Subscribe to what peers send."""
-        self.exchange.subscribe_connected(self._start)
-        self.exchange.subscribe(messages.Heartbeat, self._take_heartbeat)
-        self.exchange.subscribe(messages.ConfigurationAsk, self._answer_configuration)
-        self.exchange.subscribe(messages.ConfigurationNews, self._take_configuration)
-        self.exchange.subscribe(messages.PlanAsk, self._answer_plan)
-        self.exchange.subscribe(messages.PlanNews, self._take_plan)
+        """Subscribe to the messages of peers and to new connections."""
+        self.exchange.subscribe_connected(self._handle_connected)
+        self.exchange.subscribe(messages.Heartbeat, self._receive_heartbeat)
+        self.exchange.subscribe(messages.ConfigurationAsk, self._send_configuration)
+        self.exchange.subscribe(messages.ConfigurationNews, self._receive_configuration)
+        self.exchange.subscribe(messages.PlanAsk, self._send_plans)
+        self.exchange.subscribe(messages.PlanNews, self._receive_plans)
 
     def compose_heartbeat(self, peer: str) -> messages.Heartbeat:
-        """Return what to tell a peer now."""
+        """Return a heartbeat with the current revisions and the facts not yet sent to ``peer``."""
         number, revision = self.configuration.current.number, self.plans.revision
         self.facts.say(
             member=self.roster.own,
@@ -56,88 +60,97 @@
             plan_revision=revision,
             holds=tuple(hold.hold for hold in self.configuration.holds()),
         )
-        news = self.facts.news_for(peer)
-        return messages.Heartbeat(number, revision, plan_digest(self.plans), news)
+        changed_facts = self.facts.news_for(peer)
+        return messages.Heartbeat(number, revision, plan_digest(self.plans), changed_facts)
 
     def broadcast_heartbeat(self) -> None:
-        """Tell all peers at once what the next heartbeat would say."""
+        """Send a heartbeat to all connected peers at once."""
         for peer in self.exchange.connected():
             self.exchange.send(peer, self.compose_heartbeat(peer))
 
     async def run(self) -> None:
-        """Announce each change of the configuration until cancelled."""
+        """Broadcast a heartbeat at each change of the configuration until cancelled."""
         while True:
             await self.configuration.wait_changed()
             self.broadcast_heartbeat()
 
     def peer_numbers(self) -> dict[str, int]:
-        """Return the configuration's number at each peer whose stream is up and has spoken."""
+        """Return the configuration number of each connected peer that has sent a heartbeat."""
         connected = self.exchange.connected()
         return {
-            entry: heard.configuration for entry, heard in self._heard.items() if entry in connected
+            entry: revisions.configuration
+            for entry, revisions in self._peer_revisions.items()
+            if entry in connected
         }
 
-    def _start(self, peer: str) -> None:
-        self._heard.pop(peer, None)
+    def _handle_connected(self, peer: str) -> None:
+        self._peer_revisions.pop(peer, None)
         self.facts.start_telling(peer)
 
-    def _take_heartbeat(self, peer: str, message: messages.Heartbeat) -> None:
+    def _receive_heartbeat(self, peer: str, message: messages.Heartbeat) -> None:
         for fact in message.facts:
             if self.facts.hear(fact, peer):
                 self.roster.hear(fact.member)
-        former = self._heard.get(peer, _Heard(0))
-        self._heard[peer] = attrs.evolve(former, configuration=message.configuration)
+        previous = self._peer_revisions.get(peer, _PeerRevisions(0))
+        self._peer_revisions[peer] = attrs.evolve(previous, configuration=message.configuration)
         if message.configuration > self.configuration.current.number:
-            self._ask_configuration(peer)
+            self._request_configuration(peer)
         digests = (plan_digest(self.plans), message.plan_digest)
-        # Where the peer is the one behind, its answer is empty; the same question is not asked
-        # again until one of the two plans has changed.
-        if digests[0] != digests[1] and digests != former.asked_digests:
-            self._heard[peer] = _Heard(message.configuration, digests)
-            self.exchange.send(peer, messages.PlanAsk(_revisions(self.plans)))
+        # A peer with an older plan does not answer. The request is not repeated until one of the
+        # two plans has changed.
+        if digests[0] != digests[1] and digests != previous.requested_digests:
+            self._peer_revisions[peer] = _PeerRevisions(message.configuration, digests)
+            self.exchange.send(peer, messages.PlanAsk(_domain_revisions(self.plans)))
 
-    def _ask_configuration(self, peer: str) -> None:
+    def _request_configuration(self, peer: str) -> None:
         now_s = trio.current_time()
-        # All peers tell of a new configuration at about the same time; one answer is enough.
-        if now_s >= self._next_ask_s:
-            self._next_ask_s = now_s + ASK_INTERVAL_S
-            known = self.configuration.current.number
-            self.exchange.send(peer, messages.ConfigurationAsk(known))
+        # All peers report a new configuration at about the same time, and one response is enough.
+        if now_s >= self._next_request_at_s:
+            self._next_request_at_s = now_s + CONFIGURATION_REQUEST_INTERVAL_S
+            own_number = self.configuration.current.number
+            self.exchange.send(peer, messages.ConfigurationAsk(own_number))
 
-    def _answer_configuration(self, peer: str, message: messages.ConfigurationAsk) -> None:
+    def _send_configuration(self, peer: str, message: messages.ConfigurationAsk) -> None:
         delta = self.configuration.current.delta_since(message.known)
         self.exchange.send(peer, messages.ConfigurationNews(delta))
 
-    def _take_configuration(self, peer: str, message: messages.ConfigurationNews) -> None:
-        self._next_ask_s = float("-inf")
+    def _receive_configuration(self, peer: str, message: messages.ConfigurationNews) -> None:
+        self._next_request_at_s = float("-inf")
         try:
             self.configuration.apply(message.delta, f"{SOURCE} {peer}")
         except snapshot.SnapshotError as error:
             self.reader.note_unreadable(f"{SOURCE} {peer}", error)
             if message.delta.base:
-                # Parts that do not fit together: ask for all of them.
+                # The delta does not apply to the current parts: request all of them.
                 self.exchange.send(peer, messages.ConfigurationAsk(0))
 
-    def _answer_plan(self, peer: str, message: messages.PlanAsk) -> None:
-        known = {each.domain: each.revision for each in message.known}
-        later = tuple(
-            each for each in self.plans.domains() if each.revision > known.get(each.plan.domain, 0)
+    def _send_plans(self, peer: str, message: messages.PlanAsk) -> None:
+        peer_revisions = {known.domain: known.revision for known in message.known}
+        newer_plans = tuple(
+            versioned
+            for versioned in self.plans.domains()
+            if versioned.revision > peer_revisions.get(versioned.plan.domain, 0)
         )
-        if later:
-            self.exchange.send(peer, messages.PlanNews(later))
+        if newer_plans:
+            self.exchange.send(peer, messages.PlanNews(newer_plans))
 
-    def _take_plan(self, peer: str, message: messages.PlanNews) -> None:
+    def _receive_plans(self, peer: str, message: messages.PlanNews) -> None:
         for versioned in message.plans:
             if self.plans.apply(versioned):
-                LOGGER.debug("plan of %s from peer %s", versioned.plan.domain, peer)
+                LOGGER.debug(
+                    "applied the plan of domain %s from peer %s", versioned.plan.domain, peer
+                )
 
 
 def plan_digest(plans: plan.PlanHolder) -> int:
-    """Return a number that is equal where two entries know the same revision of each domain."""
-    text = "".join(f"{each.domain}:{each.revision};" for each in _revisions(plans))
+    """Return the CRC-32 of all domains' revisions, for comparison between entries."""
+    text = "".join(f"{each.domain}:{each.revision};" for each in _domain_revisions(plans))
     return zlib.crc32(text.encode())
 
 
-def _revisions(plans: plan.PlanHolder) -> tuple[messages.DomainRevision, ...]:
-    known = [messages.DomainRevision(each.plan.domain, each.revision) for each in plans.domains()]
-    return tuple(sorted(known, key=lambda each: each.domain))
+def _domain_revisions(plans: plan.PlanHolder) -> tuple[messages.DomainRevision, ...]:
+    revisions = [
+        messages.DomainRevision(versioned.plan.domain, versioned.revision)
+        for versioned in plans.domains()
+    ]
+    return tuple(sorted(revisions, key=lambda revision: revision.domain))
--- a/toucanhold/peers/streams.py
+++ b/toucanhold/peers/streams.py
@@ -1,4 +1,4 @@
-"""One stream for each pair of entries: dialled, accepted, kept alive."""
+"""Maintains one authenticated stream to each peer and monitors it with heartbeats."""
 
 import collections.abc
 import logging
@@ -14,10 +14,11 @@
 HANDSHAKE_TIMEOUT_S = 2.0
 MAX_HANDSHAKES = 64
 HEARTBEAT_INTERVAL_S = 0.5
-# Two lost heartbeats and a busy moment are no failure; an entry that is cut off must know within
-# three seconds.
+# Two lost heartbeats and a short pause of the peer are tolerated; an entry that is cut off must
+# detect it within three seconds.
 HEARTBEAT_TIMEOUT_S = 2.0
-# A whole configuration takes its time on a slow line; the reader sees it make progress.
+# Sending a complete configuration over a slow connection takes longer than a heartbeat interval;
+# the receiver's idle timeout does not expire while bytes arrive.
 SEND_TIMEOUT_S = 15.0
 FIRST_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 2.0
@@ -25,13 +26,17 @@
 
 LOGGER = logging.getLogger(__name__)
 
-Addresses = collections.abc.Callable[[], collections.abc.Collection[str]]
-Composer = collections.abc.Callable[[str], messages.Message]
+GetAddresses = collections.abc.Callable[[], collections.abc.Collection[str]]
+ComposeHeartbeat = collections.abc.Callable[[str], messages.Message]
 
 
 @attrs.define(eq=False)
 class _Link:
-    """An authenticated stream."""
+    """An authenticated stream to a peer.
+
+    :ivar dialled: whether this entry opened the stream
+    :ivar scope: cancelled to close the stream
+    """
 
     peer: handshake.Identity
     dialled: bool
@@ -42,13 +47,14 @@
 
 @attrs.define(eq=False)
 class PeerStreams:
-    """Keeps one stream to each peer.
+    """Maintains one stream to each peer.
 
-    :ivar own: this entry and this process
+    :ivar own: identity of this entry and its process
     :ivar address: ``IP:port`` to listen on
-    :ivar keys: what peers must prove that they have one of
-    :ivar addresses: returns where peers may be dialled now
-    :ivar heartbeat: composes what this entry tells a peer at an interval
+    :ivar keys: secrets shared by the entries; a peer must prove that it has one of them
+    :ivar addresses: returns the ``IP:port`` of each peer to dial; called repeatedly
+    :ivar heartbeat: returns the next heartbeat for the peer of the given name
+    :ivar sent_bytes: number of bytes sent over authenticated streams
     """
 
     own: handshake.Identity
@@ -56,14 +62,14 @@
     keys: keyring.KeyRing
     transport: transport.PeerTransport
     exchange: exchange.Exchange
-    addresses: Addresses
-    heartbeat: Composer
+    addresses: GetAddresses
+    heartbeat: ComposeHeartbeat
     rng: random.Random
     sent_bytes: int = 0
     _links: dict[str, _Link] = attrs.field(factory=dict, init=False)
-    _entry_at: dict[str, str] = attrs.field(factory=dict, init=False)
+    _entry_by_address: dict[str, str] = attrs.field(factory=dict, init=False)
     _dialling: set[str] = attrs.field(factory=set, init=False)
-    _handshakes: int = attrs.field(default=0, init=False)
+    _handshake_count: int = attrs.field(default=0, init=False)
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
         """Listen and dial until cancelled.
@@ -80,13 +86,13 @@
                 await trio.sleep(DIAL_CHECK_INTERVAL_S * self.rng.uniform(0.5, 1.5))
 
     def disconnect_all(self) -> None:
-        """End all streams; peers are dialled anew."""
+        """Close all streams; peers are dialled again."""
         for link in list(self._links.values()):
             link.scope.cancel()
             self._remove(link)
 
     async def _dial(self, address: str) -> None:
-        # Both sides of a pair dial, since either may be unable to reach the other.
+        # Both entries of a pair dial, since connections may be possible in one direction only.
         backoff_s = FIRST_BACKOFF_S
         while address in self.addresses():
             if not self._is_connected(address):
@@ -98,7 +104,7 @@
         self._dialling.discard(address)
 
     def _is_connected(self, address: str) -> bool:
-        entry = self._entry_at.get(address)
+        entry = self._entry_by_address.get(address)
         return entry is not None and (entry == self.own.entry or entry in self._links)
 
     async def _dial_once(self, address: str) -> bool:
@@ -106,58 +112,62 @@
             with trio.fail_after(HANDSHAKE_TIMEOUT_S):
                 stream = await self.transport.connect(address)
         except (transport.TransportError, trio.TooSlowError) as error:
-            LOGGER.debug("peer at %s: %s", address, error)
+            LOGGER.debug("cannot connect to the peer at %s: %s", address, error)
             return False
         async with stream:
-            link = await self._authenticate(stream, handshake.as_dialler, dialled=True)
+            link = await self._authenticate(stream, handshake.run_as_dialler, is_dialled=True)
             if link is None:
                 return False
-            self._entry_at[address] = link.peer.entry
-            return await self._serve(link)
+            self._entry_by_address[address] = link.peer.entry
+            return await self._run_link(link)
 
     async def _accept(self, stream: trio.abc.Stream) -> None:
         async with stream:
-            # Strangers who connect and stay silent must not use up this entry's memory.
-            if self._handshakes >= MAX_HANDSHAKES:
+            # Unauthenticated clients that connect and send nothing must not exhaust memory.
+            if self._handshake_count >= MAX_HANDSHAKES:
                 return
-            self._handshakes += 1
+            self._handshake_count += 1
             try:
-                link = await self._authenticate(stream, handshake.as_listener, dialled=False)
+                link = await self._authenticate(stream, handshake.run_as_listener, is_dialled=False)
             finally:
-                self._handshakes -= 1
+                self._handshake_count -= 1
             if link is not None:
-                await self._serve(link)
+                await self._run_link(link)
 
-    async def _authenticate(self, stream: trio.abc.Stream, side, dialled: bool) -> _Link | None:
-        framed = frames.FrameStream(stream, handshake.HANDSHAKE_FRAME_LIMIT_BYTES)
+    async def _authenticate(
+        self, stream: trio.abc.Stream, run_handshake, is_dialled: bool
+    ) -> _Link | None:
+        frame_stream = frames.FrameStream(stream, handshake.HANDSHAKE_FRAME_LIMIT_BYTES)
         try:
             with trio.fail_after(HANDSHAKE_TIMEOUT_S):
-                peer = await side(framed, self.own, self.keys)
+                peer = await run_handshake(frame_stream, self.own, self.keys)
         except handshake.HandshakeError as error:
-            events.log(LOGGER, events.Event.PEER_REFUSED, reason=str(error), dialled=dialled)
+            events.log(LOGGER, events.Event.PEER_REFUSED, reason=str(error), dialled=is_dialled)
             return None
         except (frames.FrameError, trio.TooSlowError) as error:
-            LOGGER.debug("handshake: %r", error)
+            LOGGER.debug("the handshake with a peer failed: %r", error)
             return None
-        framed.limit_bytes = FRAME_LIMIT_BYTES
-        framed.idle_timeout_s = HEARTBEAT_TIMEOUT_S
-        return _Link(peer, dialled, framed)
-
-    async def _serve(self, link: _Link) -> bool:
-        """Run a stream until it ends; false where another one is kept instead."""
-        name = link.peer.entry
-        former = self._links.get(name)
-        if name == self.own.entry or (former is not None and not self._replaces(link, former)):
-            return name == self.own.entry
-        if former is not None:
-            former.scope.cancel()
-        self._links[name] = link
-        events.log(LOGGER, events.Event.PEER_CONNECTED, peer=name, dialled=link.dialled)
+        frame_stream.max_body_bytes = FRAME_LIMIT_BYTES
+        frame_stream.idle_timeout_s = HEARTBEAT_TIMEOUT_S
+        return _Link(peer, is_dialled, frame_stream)
+
+    async def _run_link(self, link: _Link) -> bool:
+        """Run a stream until it ends; return false if an existing stream is kept instead."""
+        peer_name = link.peer.entry
+        existing = self._links.get(peer_name)
+        if peer_name == self.own.entry or (
+            existing is not None and not self._should_replace(link, existing)
+        ):
+            return peer_name == self.own.entry
+        if existing is not None:
+            existing.scope.cancel()
+        self._links[peer_name] = link
+        events.log(LOGGER, events.Event.PEER_CONNECTED, peer=peer_name, dialled=link.dialled)
         try:
-            reason = await self._exchange_frames(link)
+            reason = await self._run_tasks(link)
         finally:
             self._remove(link)
-        events.log(LOGGER, events.Event.PEER_LOST, peer=name, reason=reason)
+        events.log(LOGGER, events.Event.PEER_LOST, peer=peer_name, reason=reason)
         return True
 
     def _remove(self, link: _Link) -> None:
@@ -165,53 +175,61 @@
             del self._links[link.peer.entry]
         self.exchange.detach(link.peer.entry, link.outbox)
 
-    def _replaces(self, link: _Link, former: _Link) -> bool:
-        # When both sides dial at once, each sees the two streams in its own order. "The first
-        # stays" or "the last stays" would let each close the one that the other keeps. Both know
-        # who dialled which, so both keep the one that the smaller name dialled. A new process of
-        # the peer, or a second dial by the same side, shows that the former one is dead.
-        if link.peer.boot != former.peer.boot or link.dialled == former.dialled:
+    def _should_replace(self, link: _Link, existing: _Link) -> bool:
+        # When both entries dial at once, each sees the two streams in a different order. Keeping
+        # the first or the last would make each entry close the stream that the other keeps. Both
+        # know who dialled, so both keep the stream dialled by the entry with the smaller name. A
+        # new process of the peer, or a second dial by the same entry, means that the existing
+        # stream is dead.
+        if link.peer.boot != existing.peer.boot or link.dialled == existing.dialled:
             return True
         return link.dialled == (self.own.entry < link.peer.entry)
 
-    async def _exchange_frames(self, link: _Link) -> str:
-        ended: list[str] = []
+    async def _run_tasks(self, link: _Link) -> str:
+        end_reasons: list[str] = []
         with link.scope:
             async with trio.open_nursery() as nursery:
-                for task in (self._receive, self._send, self._beat, self._watch_overflow):
-                    nursery.start_soon(self._end_with, task, link, ended, nursery.cancel_scope)
+                for task in (
+                    self._receive_messages,
+                    self._send_messages,
+                    self._send_heartbeats,
+                    self._watch_overflow,
+                ):
+                    nursery.start_soon(
+                        self._run_until_end, task, link, end_reasons, nursery.cancel_scope
+                    )
                 self.exchange.attach(link.peer.entry, link.outbox)
-        return ended[0] if ended else "another stream took its place"
+        return end_reasons[0] if end_reasons else "another stream took its place"
 
-    async def _end_with(
+    async def _run_until_end(
         self,
         task: collections.abc.Callable[[_Link], collections.abc.Awaitable[None]],
         link: _Link,
-        ended: list[str],
+        end_reasons: list[str],
         scope: trio.CancelScope,
     ) -> None:
         try:
             await task(link)
         except (frames.FrameError, messages.MessageError) as error:
-            ended.append(str(error))
+            end_reasons.append(str(error))
         except trio.TooSlowError:
-            ended.append("no heartbeat in time, or the peer does not read")
+            end_reasons.append("no heartbeat in time, or the peer does not read")
         scope.cancel()
 
-    async def _receive(self, link: _Link) -> None:
+    async def _receive_messages(self, link: _Link) -> None:
         while True:
             body = await link.frames.receive()
             try:
                 message = messages.decode(body)
             except messages.UnknownKindError as error:
-                # A newer version's message; the entry is about to be replaced by that version.
+                # The peer runs a newer version, which will soon replace this one as well.
                 LOGGER.debug("peer %s: %s", link.peer.entry, error)
                 continue
             self.exchange.deliver(link.peer.entry, message)
-            # A peer with much to say must not keep the other tasks from running.
+            # A peer that sends many messages must not starve the other tasks.
             await trio.lowlevel.checkpoint()
 
-    async def _send(self, link: _Link) -> None:
+    async def _send_messages(self, link: _Link) -> None:
         while True:
             bodies = await link.outbox.pop_all()
             before_bytes = link.frames.sent_bytes
@@ -219,7 +237,7 @@
                 await link.frames.send(bodies)
             self.sent_bytes += link.frames.sent_bytes - before_bytes
 
-    async def _beat(self, link: _Link) -> None:
+    async def _send_heartbeats(self, link: _Link) -> None:
         while True:
             link.outbox.put(messages.encode(self.heartbeat(link.peer.entry)))
             await trio.sleep(HEARTBEAT_INTERVAL_S * self.rng.uniform(0.8, 1.2))
@@ -227,4 +245,4 @@
     async def _watch_overflow(self, link: _Link) -> None:
         await link.outbox.overflowed.wait()
         events.log(LOGGER, events.Event.PEER_CUT, peer=link.peer.entry)
-        raise frames.FrameError("the peer reads too slowly")
+        raise frames.FrameError("the outbox overflowed: the peer reads too slowly")
--- a/toucanhold/peers/transport.py
+++ b/toucanhold/peers/transport.py
@@ -1,4 +1,4 @@
-"""Byte streams between entries."""
+"""Opens and accepts byte streams between entries."""
 
 import abc
 import collections.abc
@@ -7,7 +7,7 @@
 
 
 class TransportError(Exception):
-    """A peer could not be reached, or an address could not be bound."""
+    """A connection to a peer failed, or an address could not be bound."""
 
 
 StreamHandler = collections.abc.Callable[[trio.abc.Stream], collections.abc.Awaitable[None]]
@@ -18,9 +18,9 @@
 
     @abc.abstractmethod
     async def connect(self, address: str) -> trio.abc.Stream:
-        """Open a stream.
+        """Open a stream to ``address``.
 
-        :raises TransportError: when there is no connection
+        :raises TransportError: when the connection fails
         """
 
     @abc.abstractmethod
@@ -31,14 +31,14 @@
         *,
         task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Accept streams until cancelled, each in a task of its own.
+        """Accept streams until cancelled and run ``handler`` for each in a task of its own.
 
         :raises TransportError: when the address cannot be bound
         """
 
 
 class TcpTransport(PeerTransport):
-    """Streams over TCP."""
+    """Opens and accepts streams over TCP."""
 
     async def connect(self, address: str) -> trio.abc.Stream:
         """See :class:`PeerTransport`."""
