--- a/tests/test_holds.py
+++ b/tests/test_holds.py
@@ -1,4 +1,4 @@
-"""Availability zones are taken out at once, and stay so, whatever the platform does."""
+"""Zones are taken out at once and stay out, even if the key-value service fails."""
 
 import unittest
 
@@ -15,7 +15,7 @@
     return await site.operate(name, "PUT", path, {"out": True, **fields})
 
 
-async def give_back(site, name, zone="zone-a"):
+async def return_zone(site, name, zone="zone-a"):
     return await site.operate(name, "PUT", f"availability-zones/{zone}", {"out": False})
 
 
@@ -26,8 +26,8 @@
 class TakeOutTest(unittest.TestCase):
     @support.on_test_clock
     async def test_zone_is_out_everywhere_within_three_seconds_while_the_platform_is_slow(self):
-        # Each call of the key-value service takes 1.9 s, and a change takes three of them. The
-        # peers put the hold in force at once; the zone's VMs get no request after that.
+        # Each call of the key-value service takes 1.9 s, and a change takes three calls. The peers
+        # must put the hold in force at once, and the zone's VMs must get no request after that.
         async with support.running() as site:
             await support.apply(site, replicas=2)
             await trio.sleep(10)
@@ -50,7 +50,7 @@
             self.assertEqual({"127.0.0.1:11"}, addresses)
 
     @support.on_test_clock
-    async def test_answer_says_what_is_durable_and_where_it_is_in_force(self):
+    async def test_answer_reports_durability_and_entries_in_force(self):
         async with support.running() as site:
             await support.apply(site)
             await trio.sleep(3)
@@ -71,10 +71,10 @@
             self.assertEqual(expected, answer.json())
 
     @support.on_test_clock
-    async def test_hold_outlives_the_entries_that_knew_it_first_and_becomes_durable(self):
-        # The platform is down. Entry 0 is asked and spreads the hold, then every entry that was
-        # there is replaced, one by one. When the platform is back, the replacements make it
-        # durable and nothing is left of the hold itself.
+    async def test_hold_survives_replacement_of_all_entries_and_becomes_durable(self):
+        # The key-value service is down. Entry 0 receives the request and broadcasts the hold, then
+        # all entries are replaced, one by one. When the service has recovered, the replacements
+        # must make the hold durable and resolve it.
         async with support.running() as site:
             await support.apply(site)
             await trio.sleep(3)
@@ -90,14 +90,14 @@
             site.platform.set_mode("up")
             await trio.sleep(12)
             for name in NAMES:
-                found = site.app(name).configuration
-                self.assertEqual((2, ()), (found.accepted.number, found.holds()))
-                self.assertEqual({"zone-a"}, found.accepted.zones_out)
+                configuration = site.app(name).configuration
+                self.assertEqual((2, ()), (configuration.accepted.number, configuration.holds()))
+                self.assertEqual({"zone-a"}, configuration.accepted.zones_out)
 
     @support.on_test_clock
-    async def test_late_hold_does_not_take_out_a_returned_zone(self):
-        # Entry 2 was cut off from all while a hold became durable and the zone was returned
-        # again. It comes back and tells of the hold that it still has.
+    async def test_outdated_hold_does_not_take_out_a_returned_zone(self):
+        # Entry 2 was cut off while a hold became durable and the zone was returned. It reconnects
+        # and sends the outdated hold, which must not take the zone out again.
         async with support.running() as site:
             await support.apply(site)
             await trio.sleep(3)
@@ -106,7 +106,7 @@
             site.network.isolate("entry-2", NAMES)
             site.platform.set_mode("up", "entry-0", "entry-1")
             await trio.sleep(10)
-            answer = await give_back(site, "entry-1")
+            answer = await return_zone(site, "entry-1")
             self.assertEqual(200, answer.status, answer.body)
             self.assertEqual({"zone-a"}, zones_out(site, "entry-2"))
             site.network.heal()
@@ -119,18 +119,18 @@
                 self.assertEqual(set(), zones_out(site, name))
 
     @support.on_test_clock
-    async def test_return_is_refused_truthfully_while_it_cannot_be_made_durable(self):
+    async def test_return_is_refused_while_it_cannot_be_made_durable(self):
         async with support.running() as site:
             await support.apply(site)
             await trio.sleep(3)
             site.platform.set_mode("down")
             await take_out(site, "entry-0")
-            answer = await give_back(site, "entry-0")
+            answer = await return_zone(site, "entry-0")
             self.assertEqual((503, "unavailable"), (answer.status, answer.json()["kind"]))
             self.assertEqual({"zone-a"}, zones_out(site, "entry-0"))
 
     @support.on_test_clock
-    async def test_operators_racing_take_both_zones_out(self):
+    async def test_concurrent_operators_take_both_zones_out(self):
         async with support.running() as site:
             await support.apply(site)
             await trio.sleep(3)
@@ -139,28 +139,28 @@
                 nursery.start_soon(take_out, site, "entry-1", "zone-b")
             await trio.sleep(1)
             for name in NAMES:
-                found = site.app(name).configuration
-                self.assertEqual({"zone-a", "zone-b"}, found.accepted.zones_out)
+                configuration = site.app(name).configuration
+                self.assertEqual({"zone-a", "zone-b"}, configuration.accepted.zones_out)
 
     @support.on_test_clock
     async def test_lost_answer_of_the_platform_does_not_repeat_a_take_out(self):
-        # The write took effect and its answer was lost; meanwhile another operator returned the
-        # zone. The writer must find its hold settled and leave the zone in.
+        # The write took effect and its response was lost; meanwhile another operator returned the
+        # zone. The writer must detect that its hold is resolved and must not take the zone out.
         async with support.running(("entry-0",)) as site:
             await support.apply(site)
             await trio.sleep(2)
             site.platform.faults["entry-0"].lose_answers = 1
             site.platform.faults["entry-0"].lose_kinds = ("kv/txn",)
             hold = holds.new_hold("zone-a", "operator", "entry-0")
-            other = store.ConfigurationStore(site.platform.client("operator-2"))
+            other_store = store.ConfigurationStore(site.platform.client("operator-2"))
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._make_durable, site, hold)
                 await trio.sleep(0.1)
-                await other.return_zone("zone-a", (hold,), "operator-2")
+                await other_store.return_zone("zone-a", (hold,), "operator-2")
             await site.app("entry-0").store.make_durable((hold,))
-            result = await other.read_delta(0, 0)
-            found = snapshot.Configuration().merged(result[0])
-            self.assertEqual(frozenset(), found.zones_out)
+            result = await other_store.read_delta(0, 0)
+            configuration = snapshot.Configuration().merged(result[0])
+            self.assertEqual(frozenset(), configuration.zones_out)
 
     async def _make_durable(self, site, hold):
         try:
@@ -183,26 +183,28 @@
 
 
 class HolderTest(unittest.TestCase):
-    def test_hold_changes_what_is_in_force_under_the_same_number(self):
-        held = holder.ConfigurationHolder()
-        held.apply(snapshot.Delta(0, 3, ()), "platform")
+    def test_hold_takes_effect_without_a_new_configuration_number(self):
+        config_holder = holder.ConfigurationHolder()
+        config_holder.apply(snapshot.Delta(0, 3, ()), "platform")
         hold = holds.new_hold("zone-a", "operator", "entry-0")
-        self.assertTrue(held.add_hold(hold, "operator"))
-        self.assertFalse(held.add_hold(hold, "peer"))
-        self.assertEqual((3, {"zone-a"}), (held.current.number, held.current.zones_out))
-        self.assertEqual(frozenset(), held.accepted.zones_out)
-
-    def test_only_a_configuration_that_names_the_hold_ends_it(self):
-        held = holder.ConfigurationHolder()
+        self.assertTrue(config_holder.add_hold(hold, "operator"))
+        self.assertFalse(config_holder.add_hold(hold, "peer"))
+        self.assertEqual(
+            (3, {"zone-a"}), (config_holder.current.number, config_holder.current.zones_out)
+        )
+        self.assertEqual(frozenset(), config_holder.accepted.zones_out)
+
+    def test_hold_ends_only_with_a_configuration_that_resolves_it(self):
+        config_holder = holder.ConfigurationHolder()
         hold = holds.new_hold("zone-a", "operator", "entry-0")
-        held.add_hold(hold, "operator")
-        held.apply(snapshot.Delta(0, 1, (_zones(1, "other"),)), "platform")
-        self.assertEqual({"zone-a"}, held.current.zones_out)
-        held.apply(snapshot.Delta(1, 2, (_zones(2, hold.hold),)), "platform")
-        self.assertEqual(frozenset(), held.current.zones_out)
-        self.assertFalse(held.add_hold(hold, "late peer"))
+        config_holder.add_hold(hold, "operator")
+        config_holder.apply(snapshot.Delta(0, 1, (_zones(1, "other"),)), "platform")
+        self.assertEqual({"zone-a"}, config_holder.current.zones_out)
+        config_holder.apply(snapshot.Delta(1, 2, (_zones(2, hold.hold),)), "platform")
+        self.assertEqual(frozenset(), config_holder.current.zones_out)
+        self.assertFalse(config_holder.add_hold(hold, "late peer"))
 
 
-def _zones(number, settled):
-    body = b'{"zones":[],"resolved":[{"hold":"%s","at_unix_s":1}]}' % settled.encode()
+def _zones(number, resolved_hold):
+    body = b'{"zones":[],"resolved":[{"hold":"%s","at_unix_s":1}]}' % resolved_hold.encode()
     return snapshot.Part(snapshot.ZONES_PART, number, body)
--- a/tests/test_operators_racing.py
+++ b/tests/test_operators_racing.py
@@ -1,4 +1,4 @@
-"""Operators who change the configuration at the same time, and answers that get lost."""
+"""Concurrent changes of the configuration by operators, and changes whose response is lost."""
 
 import unittest
 
@@ -7,11 +7,11 @@
 from tests import test_revisions as support
 
 
-class RacingTest(unittest.TestCase):
+class ConcurrentChangeTest(unittest.TestCase):
     @support.on_test_clock
-    async def test_loser_is_told_what_he_did_not_see(self):
-        # Two operators saw configuration 1. One changes a service; the other one's document,
-        # written without knowing that, would undo it. He is refused and sees what changed.
+    async def test_rejected_operator_gets_the_concurrent_changes(self):
+        # Two operators read configuration 1. One changes a service; the other one's document would
+        # undo that change. It must be rejected with the differences.
         async with support.running() as site:
             await support.apply(site)
             await trio.sleep(1)
@@ -23,7 +23,7 @@
             self.assertEqual(expected, second.json()["differences"])
 
     @support.on_test_clock
-    async def test_loser_at_an_entry_that_knows_no_history_sees_the_parts(self):
+    async def test_rejected_operator_at_an_entry_without_history_gets_the_parts(self):
         async with support.running(started=("entry-0",)) as site:
             await support.apply(site)
             await support.apply(site, expected=1, replicas=2)
@@ -51,9 +51,9 @@
             self.assertEqual(2, site.app("entry-2").configuration.current.number)
 
 
-class LostAnswerTest(unittest.TestCase):
+class LostResponseTest(unittest.TestCase):
     @support.on_test_clock
-    async def test_change_whose_answer_was_lost_is_reported_as_accepted(self):
+    async def test_change_with_a_lost_response_is_reported_as_accepted(self):
         async with support.running() as site:
             await trio.sleep(1)
             faults = site.platform.faults["entry-0"]
@@ -62,7 +62,7 @@
             self.assertEqual((200, 1), (answer.status, answer.json()["configuration"]))
 
     @support.on_test_clock
-    async def test_change_whose_request_was_lost_is_made_once(self):
+    async def test_change_with_a_lost_request_is_applied_once(self):
         async with support.running() as site:
             await trio.sleep(1)
             faults = site.platform.faults["entry-0"]
@@ -71,7 +71,7 @@
             self.assertEqual((200, 1), (answer.status, answer.json()["configuration"]))
 
     @support.on_test_clock
-    async def test_change_during_an_outage_is_said_not_to_have_been_made(self):
+    async def test_change_during_an_outage_is_reported_as_unavailable(self):
         async with support.running() as site:
             await trio.sleep(1)
             site.platform.set_mode("down")
@@ -79,9 +79,9 @@
             self.assertEqual((503, "unavailable"), (answer.status, answer.json()["kind"]))
 
     @support.on_test_clock
-    async def test_change_cut_off_after_it_was_sent_is_said_to_be_unknown(self):
-        # The write takes effect, its answer is lost, and the service goes down before it can be
-        # asked what became of it: neither "accepted" nor "refused" would be true.
+    async def test_change_interrupted_after_sending_is_reported_as_unknown(self):
+        # The write takes effect, its response is lost, and the service fails before the outcome
+        # can be read: the entry must report neither "accepted" nor "refused".
         async with support.running() as site:
             await trio.sleep(1)
             faults = site.platform.faults["entry-0"]
@@ -96,7 +96,7 @@
         self.assertEqual((504, "unknown-outcome"), (answer.status, answer.json()["kind"]))
 
     @support.on_test_clock
-    async def test_unexpected_mistake_gets_a_typed_answer(self):
+    async def test_unexpected_error_gets_a_typed_answer(self):
         async with support.running() as site:
             await trio.sleep(1)
 
@@ -106,7 +106,7 @@
             self.assertEqual((500, "internal"), (answer.status, answer.json()["kind"]))
 
     @support.on_test_clock
-    async def test_document_with_a_mistake_changes_nothing(self):
+    async def test_invalid_document_changes_nothing(self):
         async with support.running() as site:
             await trio.sleep(1)
             body = support.document()
--- a/tests/test_order_keys.py
+++ b/tests/test_order_keys.py
@@ -1,4 +1,4 @@
-"""Orders under keys that an entry issued need no platform and run at most once."""
+"""Orders under keys issued by an entry need no key-value service and run at most once."""
 
 from unittest import mock
 
@@ -11,17 +11,17 @@
 
 
 class OrderKeyTest(test_orders.OrderTest):
-    """Entries "a" and "b" know each other; each test says what the platform does."""
+    """Runs tests with entries "a" and "b" in each other's rosters."""
 
-    def with_known(self, body):
-        async def known(store, sender, a, b):
-            for one, other in ((a, b), (b, a)):
-                one.keeper.issued.roster.hear(other.keeper.issued.roster.own)
+    def with_peers(self, body):
+        async def introduced(store, sender, a, b):
+            for entry, other in ((a, b), (b, a)):
+                entry.keeper.issued.roster.hear(other.keeper.issued.roster.own)
             await body(store, sender, a, b)
 
-        self.with_entries(known)
+        self.with_entries(introduced)
 
-    def test_orders_run_through_an_outage_without_a_platform_call(self):
+    def test_orders_run_in_an_outage_without_a_platform_call(self):
         async def body(store, sender, a, b):
             store.down = True
             key = a.issue()
@@ -30,9 +30,9 @@
                 self.assertEqual((200, "ran", b"done"), answer)
             self.assertEqual((1, 0), (len(sender.runs), store.calls.total()))
 
-        self.with_known(body)
+        self.with_peers(body)
 
-    def test_another_entry_names_the_issuer_and_runs_nothing(self):
+    def test_other_entry_refuses_and_names_the_issuer(self):
         async def body(store, sender, a, b):
             answer = await b.order(order_fakes.new_request(a.issue()))
             self.assertEqual(("wrong-entry", "did-not-run"), answer[:2])
@@ -42,27 +42,27 @@
             self.assertEqual("127.0.0.1:1", caught.exception.entry_address)
             self.assertEqual([], sender.runs)
 
-        self.with_known(body)
+        self.with_peers(body)
 
-    def test_key_of_a_process_that_is_gone_is_never_run(self):
-        # Entry "a" ran the order and was killed. Its successor of the same name, and entry "b",
-        # cannot know that; they must say so, and must not run it.
+    def test_key_of_an_ended_process_is_never_run(self):
+        # Entry "a" ran the order and was killed. Its successor of the same name and entry "b" do
+        # not know the outcome, so both must report it as unknown and must not run the order.
         async def body(store, sender, a, b):
             key = a.issue()
             await a.order(order_fakes.new_request(key))
             a.kill()
             b.keeper.issued.roster.forget("a")
-            again = order_fakes.new_entry("a", store, sender)
-            for entry in (b, again):
+            restarted = order_fakes.new_entry("a", store, sender)
+            for entry in (b, restarted):
                 answer = await entry.order(order_fakes.new_request(key))
                 self.assertEqual(("outcome-unknown", "unknown"), answer[:2])
             store.down = True
             self.assertEqual("unknown", (await b.order(order_fakes.new_request(key)))[1])
             self.assertEqual(1, len(sender.runs))
 
-        self.with_known(body)
+        self.with_peers(body)
 
-    def test_planned_stop_hands_the_outcomes_over(self):
+    def test_planned_stop_stores_the_outcomes(self):
         async def body(store, sender, a, b):
             used = [a.issue() for _ in range(100)]
             for key in used:
@@ -77,9 +77,9 @@
             self.assertEqual("key-reused", other[0])
             self.assertEqual(100, len(sender.runs))
 
-        self.with_known(body)
+        self.with_peers(body)
 
-    def test_repeats_while_it_runs_and_with_another_body(self):
+    def test_repeats_of_a_running_order_and_reuse_of_its_key(self):
         async def body(store, sender, a, b):
             sender.run_s = 5.0
             key = a.issue()
@@ -91,7 +91,7 @@
                 self.assertEqual(("key-reused", "did-not-run"), other[:2])
             self.assertEqual(1, len(sender.runs))
 
-        self.with_known(body)
+        self.with_peers(body)
 
     def test_order_that_did_not_run_may_be_repeated(self):
         async def body(store, sender, a, b):
@@ -101,10 +101,11 @@
             self.assertEqual(["did-not-run", "unknown", "unknown"], outcomes)
             self.assertEqual(1, len(sender.runs))
 
-        self.with_known(body)
+        self.with_peers(body)
 
     def test_expired_key_is_never_run_and_is_forgotten(self):
-        # The key outlives what its entry remembers. A repeat hours later must not run again.
+        # An entry forgets used keys after they expire. A repeat after that must not run the order
+        # a second time.
         async def body(store, sender, a, b):
             used, unused = a.issue(), a.issue()
             await a.order(order_fakes.new_request(used))
@@ -115,9 +116,9 @@
             self.assertEqual(1, len(sender.runs))
             self.assertFalse(a.keeper.issued._used_keys)
 
-        self.with_known(body)
+        self.with_peers(body)
 
-    def test_memory_is_bounded_and_nothing_that_may_be_repeated_is_forgotten(self):
+    def test_memory_is_bounded_and_no_valid_key_is_forgotten(self):
         async def body(store, sender, a, b):
             with (
                 mock.patch.object(issued, "MAX_USED_KEYS", 3),
@@ -130,26 +131,34 @@
                 self.assertEqual([200, 200, "answer-not-kept", "overloaded"], repeats)
             self.assertEqual(3, len(sender.runs))
 
-        self.with_known(body)
+        self.with_peers(body)
 
-    def test_keys_that_nobody_issued_are_refused(self):
+    def test_forged_keys_are_refused(self):
         async def body(store, sender, a, b):
             key = a.issue()
             body_part, _, mac = key.removeprefix(keys.PREFIX).partition(".")
             forged = keys.KeySigner(keyring.from_text("another secret")).issue(
                 "a", "boot", "growers", 1e9
             )
-            for bad in ("thk1.", "thk1.x", f"thk1.{body_part}.AAAA", key[:-4], key + "A", forged):
-                answer = await a.order(order_fakes.new_request(bad))
-                self.assertEqual(("malformed", "did-not-run"), answer[:2], bad)
+            for invalid_key in (
+                "thk1.",
+                "thk1.x",
+                f"thk1.{body_part}.AAAA",
+                key[:-4],
+                key + "A",
+                forged,
+            ):
+                answer = await a.order(order_fakes.new_request(invalid_key))
+                self.assertEqual(("malformed", "did-not-run"), answer[:2], invalid_key)
             foreign = await a.order(order_fakes.new_request(key, workspace="orchards"))
             self.assertEqual("malformed", foreign[0])
             self.assertEqual([], sender.runs)
 
-        self.with_known(body)
+        self.with_peers(body)
 
-    def test_other_spelling_of_a_key_is_no_second_order(self):
-        # The last character of the signature has unused bits: another one decodes to the same.
+    def test_other_encoding_of_a_key_is_not_a_second_order(self):
+        # The last base64 character of the signature has unused bits, so several characters decode
+        # to the same bytes. Only one of the encodings must be accepted.
         async def body(store, sender, a, b):
             key = a.issue()
             await a.order(order_fakes.new_request(key))
@@ -157,9 +166,9 @@
                 await a.order(order_fakes.new_request(key[:-1] + last))
             self.assertEqual(1, len(sender.runs))
 
-        self.with_known(body)
+        self.with_peers(body)
 
-    def test_key_fits_a_header(self):
+    def test_key_fits_an_idempotency_key_header(self):
         signer = keys.KeySigner(keyring.from_text("secret"))
         key = signer.issue("entry-name-of-30-characters-ok", "b" * 32, "w" * 60, 1e9)
         self.assertLessEqual(len(key), 255)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders run at most once, and every refusal that says so is true."""
+"""Orders run at most once, and an order that is refused as "did not run" has not run."""
 
 import itertools
 import unittest
@@ -21,7 +21,7 @@
 
 
 class OrderTest(unittest.TestCase):
-    """Each test runs on a test clock with two entries, one store and one backend server."""
+    """Runs tests on a mock clock with two entries, one key-value store and one backend server."""
 
     def with_entries(self, body):
         async def main():
@@ -61,9 +61,9 @@
 
         self.with_entries(body)
 
-    def test_repeat_while_it_runs_is_told_so_at_once(self):
-        # The caller sends again, at the same entry and at another, while the order runs: both
-        # are told "in progress" with a time to come back, neither waits, and nothing runs twice.
+    def test_repeat_of_a_running_order_gets_in_progress_at_once(self):
+        # The caller repeats an order at the same and at another entry while it runs. Both repeats
+        # must get "in progress" with a retry time without waiting, and the order must run once.
         async def body(store, sender, a, b):
             sender.run_s = 8.0
             async with trio.open_nursery() as nursery:
@@ -131,8 +131,8 @@
         self.with_entries(body)
 
     def test_caller_who_leaves_does_not_cancel_the_order(self):
-        # The caller's connection closes after the order was sent. The valve opens all the same,
-        # so the order must go on and a repeat must get its answer.
+        # The caller disconnects after the order was sent. The backend server executes it anyway,
+        # so the order must not be cancelled, and a repeat must get its answer.
         async def body(store, sender, a, b):
             sender.run_s = 5.0
             with trio.move_on_after(1):
@@ -146,10 +146,10 @@
 
 class FaultTest(OrderTest):
     def test_every_fault_at_every_call_for_every_outcome(self):
-        # The caller sends an order and repeats its key at both entries, at once and later. One
-        # call to the key-value service fails before or after its effect, or takes effect later,
-        # while the order runs, does not run, or loses its answer. It runs at most once, each
-        # "did not run" is true, and no key is stuck that never ran.
+        # The caller sends an order and repeats it at both entries, at once and later. One call to
+        # the key-value service fails before or after its effect, or takes effect late, while the
+        # order runs, does not run or loses its answer. The order must run at most once, each
+        # "did not run" must be true, and the key of an order that never ran must stay usable.
         for call, fault, behaviour in itertools.product(CALLS, FAULTS, BEHAVIOURS):
             with self.subTest(call=call, fault=fault, behaviour=behaviour):
                 self._check(call, fault, behaviour)
@@ -161,40 +161,40 @@
             for entry, wait_s in ((a, 0), (b, 0), (a, 1), (b, 10), (a, LONG_S), (b, LONG_S)):
                 await trio.sleep(wait_s)
                 request = order_fakes.new_request()
-                last = await entry.order(request)
+                answer = await entry.order(request)
                 self.assertLessEqual(len(sender.runs), 1)
-                if last[1] == "did-not-run":
+                if answer[1] == "did-not-run":
                     self.assertNotIn(request.request_id, sender.runs)
             lost = behaviour.startswith("lost")
-            self.assertEqual("outcome-unknown" if lost else 200, last[0])
+            self.assertEqual("outcome-unknown" if lost else 200, answer[0])
             self.assertEqual(0 if behaviour == "lost-before-run" else 1, len(sender.runs))
 
         self.with_entries(body)
 
-    def test_entry_dies_at_every_moment(self):
-        # Entry "a" is killed while it claims, sends or records. A repeat at "b" is told "in
-        # progress" at first and "unknown" after the stated time, or runs if nothing was claimed.
+    def test_entry_killed_at_every_step(self):
+        # Entry "a" is killed while it claims, sends or records an order. A repeat at "b" gets "in
+        # progress" at first and "unknown" after the stated time, or runs if there is no claim.
         for step in range(1, 40):
-            with self.subTest(died_after_s=step * 0.004):
-                self._check_death(step * 0.004)
+            with self.subTest(killed_after_s=step * 0.004):
+                self._check_kill(step * 0.004)
 
-    def _check_death(self, died_after_s):
+    def _check_kill(self, killed_after_s):
         async def body(store, sender, a, b):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(a.order, order_fakes.new_request())
-                await trio.sleep(died_after_s)
+                await trio.sleep(killed_after_s)
                 a.kill()
             for wait_s in (0, 1, LONG_S):
                 await trio.sleep(wait_s)
-                last = await b.order(order_fakes.new_request())
+                answer = await b.order(order_fakes.new_request())
                 self.assertLessEqual(len(sender.runs), 1)
-            self.assertIn(last[0], (200, "outcome-unknown"))
+            self.assertIn(answer[0], (200, "outcome-unknown"))
 
         self.with_entries(body)
 
     def test_entry_paused_between_claim_and_sending(self):
-        # Entry "a" claims, is paused for an hour and then sends. Everybody has long taken it for
-        # dead, but a claim is never run by another: the order runs once, by "a".
+        # Entry "a" claims an order, is paused for an hour and then sends it. Other entries have
+        # considered "a" dead for long but must not run an order that is claimed: it runs once.
         async def body(store, sender, a, b):
             sender.run_s = 3600.0
             async with trio.open_nursery() as nursery:
@@ -208,23 +208,24 @@
 
         self.with_entries(body)
 
-    def test_restarted_entry_knows_that_its_former_process_is_gone(self):
+    def test_restarted_entry_does_not_wait_for_its_former_process(self):
         async def body(store, sender, a, b):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(a.order, order_fakes.new_request())
                 await trio.sleep(0.05)
                 a.kill()
-                again = order_fakes.new_entry("a", store, sender)
-                await nursery.start(again.run)
-                answer = await again.order(order_fakes.new_request())
+                restarted = order_fakes.new_entry("a", store, sender)
+                await nursery.start(restarted.run)
+                answer = await restarted.order(order_fakes.new_request())
                 self.assertEqual("outcome-unknown", answer[0])
-                again.kill()
+                restarted.kill()
 
         self.with_entries(body)
 
-    def test_claim_whose_answer_never_comes_is_refused_and_released(self):
-        # The service takes the claim and its answers are lost from then on. Nothing is sent, the
-        # caller is told so, and once the service answers again the key can be used at "b" too.
+    def test_claim_with_lost_responses_is_refused_and_released(self):
+        # The claim is written, and all responses of the service are lost from then on. Nothing
+        # must be sent, and the refusal must say so. Once the service responds again, the key must
+        # be usable at "b" too.
         async def body(store, sender, a, b):
             store.faults.update({1: "lost-answer"} | dict.fromkeys(range(2, 60), "lost-request"))
             answer = await a.order(order_fakes.new_request())
@@ -236,10 +237,10 @@
 
         self.with_entries(body)
 
-    def test_claim_that_arrives_after_its_refusal_is_released(self):
-        # The claim's write is held up on its way, the service answers nothing else for a while,
-        # and the caller is refused. The write arrives seconds later, with nobody to use it: a
-        # repeat must not be told "unknown" for a day about an order that never ran.
+    def test_claim_written_after_its_refusal_is_released(self):
+        # The write of the claim is delayed, the service does not respond for a while, and the
+        # caller is refused. The write takes effect seconds later. The unused claim must be
+        # deleted, or repeats would get "unknown" for a day although the order never ran.
         async def body(store, sender, a, b):
             store.faults.update({1: "late"} | dict.fromkeys(range(2, 18), "lost-request"))
             answer = await a.order(order_fakes.new_request())
@@ -250,9 +251,9 @@
 
         self.with_entries(body)
 
-    def test_claim_that_arrives_after_its_release_is_released_again(self):
-        # The first write of the claim is held up, the second one stands; no backend server can
-        # be reached, so the claim is released. Then the first write arrives.
+    def test_claim_written_after_its_release_is_released_again(self):
+        # The first write of the claim is delayed, and the second takes effect. No backend server
+        # can be reached, so the claim is released. Then the first write takes effect.
         async def body(store, sender, a, b):
             store.faults[1] = "late"
             sender.behaviours = ["not-sent"]
@@ -262,7 +263,7 @@
 
         self.with_entries(body)
 
-    def test_entry_claims_anew_over_its_own_abandoned_claim(self):
+    def test_entry_replaces_its_own_abandoned_claim(self):
         async def body(store, sender, a, b):
             store.faults.update({1: "lost-answer"} | dict.fromkeys(range(2, 60), "lost-request"))
             self.assertEqual("did-not-run", (await a.order(order_fakes.new_request()))[1])
@@ -273,7 +274,7 @@
 
         self.with_entries(body)
 
-    def test_own_failure_ends_no_other_order(self):
+    def test_internal_error_ends_no_other_order(self):
         async def body(store, sender, a, b):
             store.faults.update({0: "bug", 2: "bug"})
             with self.assertLogs("toucanhold.orders.running", "ERROR"):
@@ -283,7 +284,7 @@
 
         self.with_entries(body)
 
-    def test_own_failure_after_sending_is_no_refusal(self):
+    def test_internal_error_after_sending_is_not_a_refusal(self):
         async def body(store, sender, a, b):
             sender.behaviours = ["bug"]
             with self.assertLogs("toucanhold.orders.running", "ERROR"):
@@ -296,32 +297,32 @@
         self.with_entries(body)
 
 
-class KeptClaimsTest(OrderTest):
-    def test_claims_in_the_service_are_bounded_and_age(self):
+class ClaimLimitTest(OrderTest):
+    def test_claims_in_the_service_are_bounded_and_expire(self):
         async def body(store, sender, a, b):
             a.keeper.claimed.claims.leases.max_claims = lambda: 3
             sender.behaviours = ["ok", "not-sent"]
-            ends = []
+            outcomes = []
             for number in range(6):
-                ends.append((await a.order(order_fakes.new_request(f"key-{number}")))[0])
+                outcomes.append((await a.order(order_fakes.new_request(f"key-{number}")))[0])
                 await trio.sleep(1)
             refused = ["claim-unavailable"] * 2
-            self.assertEqual([200, "no-capacity", 200, 200, *refused], ends)
+            self.assertEqual([200, "no-capacity", 200, 200, *refused], outcomes)
             await trio.sleep(leases.KEPT_S + 3 * leases.LEASE_INTERVAL_S)
             self.assertEqual(200, (await a.order(order_fakes.new_request("later")))[0])
 
         self.with_entries(body)
 
 
-class CombiningTest(unittest.TestCase):
-    def commit_all(self, commits_wanted):
-        """Commit all at once, one more first so that they gather; return the results."""
+class BatchingTest(unittest.TestCase):
+    def commit_all(self, commit_keys):
+        """Commit all keys while an earlier commit is sent; return the results and the store."""
         store = order_fakes.FakeKeyValue(items={"taken": keyvalue.Item("taken", b"", 1, 1)})
         bucket = limits.TokenBucket(lambda: 1000.0, 100)
         committer = commits.BatchingCommitter(store, bucket, workers=1)
         outcomes = {}
 
-        async def one(number, key):
+        async def commit_key(number, key):
             condition = keyvalue.Condition(key, create_revision=0)
             commit = commits.Commit(condition, keyvalue.Write(key, b"value"))
             outcomes[number] = (await committer.commit(commit)).succeeded
@@ -330,15 +331,15 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(committer.run)
                 async with trio.open_nursery() as callers:
-                    for number, key in enumerate(["first", *commits_wanted]):
-                        callers.start_soon(one, number, key)
+                    for number, key in enumerate(["first", *commit_keys]):
+                        callers.start_soon(commit_key, number, key)
                         await trio.sleep(0.0001)
                 nursery.cancel_scope.cancel()
 
         run(main)
-        return [outcomes[number + 1] for number in range(len(commits_wanted))], store
+        return [outcomes[number + 1] for number in range(len(commit_keys))], store
 
-    def test_gathered_commits_go_in_one_call(self):
+    def test_queued_commits_are_sent_in_one_transaction(self):
         results, store = self.commit_all([f"key-{number}" for number in range(20)])
         self.assertEqual([True] * 20, results)
         self.assertEqual(2, store.calls["write"])
@@ -347,18 +348,18 @@
         results, store = self.commit_all(["one", "taken", "two"])
         self.assertEqual([True, False, True], results)
 
-    def test_one_key_twice_is_not_put_into_one_call(self):
+    def test_no_transaction_writes_a_key_twice(self):
         results, store = self.commit_all(["one", "one", "two"])
         self.assertEqual([False, True, True], sorted(results))
 
 
 class OutageTest(OrderTest):
-    def test_outage_refuses_keyed_orders_truthfully(self):
+    def test_keyed_order_in_an_outage_is_refused_as_not_run(self):
         async def body(store, sender, a, b):
             store.down = True
-            asked_at_s = trio.current_time()
+            sent_at_s = trio.current_time()
             problem, outcome, retry_after_s = await a.order(order_fakes.new_request())
-            self.assertLess(trio.current_time() - asked_at_s, 0.5)
+            self.assertLess(trio.current_time() - sent_at_s, 0.5)
             self.assertEqual(("claim-unavailable", "did-not-run"), (problem, outcome))
             self.assertGreater(retry_after_s, 0)
             self.assertEqual([], sender.runs)
@@ -367,9 +368,9 @@
 
         self.with_entries(body)
 
-    def test_outcome_is_recorded_once_the_platform_is_back(self):
-        # The platform goes down while the order runs. Its caller still gets the answer; a repeat
-        # at "a" gets it from memory, at "b" nothing false; after the outage "b" gets it too.
+    def test_outcome_is_recorded_after_an_outage(self):
+        # The key-value service fails while the order runs. The caller must still get the answer;
+        # a repeat at "a" gets it from memory, and one at "b" is refused until the outage is over.
         async def body(store, sender, a, b):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(a.order, order_fakes.new_request())
@@ -385,7 +386,7 @@
 
         self.with_entries(body)
 
-    def test_lease_that_the_platform_lost_is_replaced(self):
+    def test_expired_lease_is_replaced(self):
         async def body(store, sender, a, b):
             await a.order(order_fakes.new_request("first"))
             await trio.sleep(1)
@@ -397,9 +398,9 @@
 
 class RateTest(unittest.TestCase):
     def test_orders_beyond_the_rate_are_refused_and_none_is_lost(self):
-        run(self._flood)
+        run(self._exceed_rate)
 
-    async def _flood(self):
+    async def _exceed_rate(self):
         store, sender = order_fakes.FakeKeyValue(), order_fakes.FakeSender()
         entry = order_fakes.new_entry("a", store, sender, calls_per_s=2.0)
         answers = []
@@ -421,9 +422,9 @@
             nursery.cancel_scope.cancel()
 
     def test_abandoned_claims_are_bounded(self):
-        run(self._abandon)
+        run(self._exceed_abandoned_claims)
 
-    async def _abandon(self):
+    async def _exceed_abandoned_claims(self):
         store, sender = order_fakes.FakeKeyValue(), order_fakes.FakeSender()
         store.faults = dict.fromkeys(range(1, 100_000), "lost-request")
         entry = order_fakes.new_entry("a", store, sender)
@@ -432,8 +433,8 @@
             async with trio.open_nursery() as callers:
                 for number in range(claims.MAX_ABANDONED):
                     callers.start_soon(entry.order, order_fakes.new_request(f"key-{number}"))
-            before = store.calls["write"]
+            writes_before = store.calls["write"]
             answer = await entry.order(order_fakes.new_request("one more"))
             self.assertEqual(("claim-unavailable", "did-not-run"), answer[:2])
-            self.assertEqual(before, store.calls["write"])
+            self.assertEqual(writes_before, store.calls["write"])
             nursery.cancel_scope.cancel()
--- a/tests/test_orders_path.py
+++ b/tests/test_orders_path.py
@@ -1,4 +1,4 @@
-"""Orders on the running path, with every process separate."""
+"""Orders run at most once in a site of separate processes."""
 
 import contextlib
 import unittest
@@ -16,12 +16,12 @@
         "non_idempotent": [{"method": "POST", "path": "/publish"}],
     },
 )
-LOST = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
+CONNECTION_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
 
 @contextlib.asynccontextmanager
 async def running_site(entries, **options):
-    """A site with one plain server and a configuration in force."""
+    """Run a site with one plain backend server until its entries serve the configuration."""
     site = sites.new_site(sites.log_folder(), ("zone-a",), 0, SERVICE, 1, entries)
     site.service_options = ("--warm", *options.get("service", ()))
     async with sites.running(site):
@@ -29,12 +29,12 @@
         body = {"document": document, "expected": 0}
         answer = await site.operate("entry-0", "PUT", "document", body)
         assert answer.status == 200, answer.body
-        for each in site.entries:
-            await site.wait_status(each.entry, _serves)
+        for entry in site.entries:
+            await site.wait_status(entry.entry, _is_serving)
         yield site
 
 
-def _serves(status):
+def _is_serving(status):
     return any(service["serving"] for service in status["services"])
 
 
@@ -43,16 +43,16 @@
     return await sites.call("POST", url, body, {"idempotency-key": key})
 
 
-async def runs(site):
+async def run_keys(site):
     history = await sites.call("GET", f"http://{site.vms[0].address}/standin/history")
     return [order["key"] for order in history.json()["orders"]]
 
 
 class OrdersPathTest(unittest.TestCase):
-    def test_repeats_platform_outage_and_death(self):
-        # A publish is sent, repeated at another entry, and sent with another body. Then the
-        # entry that runs one is killed: the repeat elsewhere must not publish it again. Then the
-        # key-value service goes away: the refusal must be true.
+    def test_repeats_entry_crash_and_platform_outage(self):
+        # An order is sent, repeated at another entry, and sent with another body. Then an entry is
+        # killed while it runs an order: the repeat at another entry must not run it again. Then
+        # the key-value service is killed: an order refused as "did not run" must not have run.
         trio.run(self._repeats)
 
     async def _repeats(self):
@@ -60,22 +60,22 @@
             first = await publish(site, "entry-0", "one")
             self.assertEqual(200, first.status, first.body)
             with trio.fail_after(5):
-                while (again := await publish(site, "entry-1", "one")).status == 409:
+                while (repeat := await publish(site, "entry-1", "one")).status == 409:
                     await trio.sleep(0.05)
-            self.assertEqual((200, first.body), (again.status, again.body))
-            self.assertEqual("true", again.headers["toucanhold-replayed"])
+            self.assertEqual((200, first.body), (repeat.status, repeat.body))
+            self.assertEqual("true", repeat.headers["toucanhold-replayed"])
             other = await publish(site, "entry-1", "one", "another release")
             self.assertEqual((422, "did-not-run"), (other.status, other.json()["outcome"]))
-            await self._kill_in_the_middle(site)
+            await self._kill_during_an_order(site)
             await site.group.kill(sites.KEYVALUE)
             refused = await publish(site, "entry-1", "three")
             self.assertEqual((503, "did-not-run"), (refused.status, refused.json()["outcome"]))
-            self.assertEqual(["one", "two"], await runs(site))
+            self.assertEqual(["one", "two"], await run_keys(site))
             await self._order_without_platform(site)
 
-    async def _kill_in_the_middle(self, site):
+    async def _kill_during_an_order(self, site):
         async def send():
-            with contextlib.suppress(*LOST):
+            with contextlib.suppress(*CONNECTION_ERRORS):
                 await publish(site, "entry-0", "two")
 
         async with trio.open_nursery() as nursery:
@@ -93,4 +93,4 @@
         key = issued.json()["order_keys"][0]
         answers = [await publish(site, "entry-1", key) for _ in range(3)]
         self.assertEqual([200] * 3, [answer.status for answer in answers], answers[0].body)
-        self.assertEqual(["one", "two", key], await runs(site))
+        self.assertEqual(["one", "two", key], await run_keys(site))
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -1,4 +1,4 @@
-"""Configuration and plan pass from entry to entry, and never go back."""
+"""Entries get newer configurations and plans from their peers and never apply older ones."""
 
 import contextlib
 import functools
@@ -62,8 +62,8 @@
 class RevisionsTest(unittest.TestCase):
     @on_test_clock
     async def test_entry_without_platform_gets_changes_from_peers(self):
-        # Entry 2 alone is cut off from the key-value service. An operator's change reaches the
-        # other two by their watches; entry 2 hears the higher number in their heartbeats.
+        # Only entry 2 is cut off from the key-value service. An operator's change reaches the
+        # other two by their watches; entry 2 must detect the higher number in their heartbeats.
         async with running() as site:
             await trio.sleep(2)
             site.platform.set_mode("silent", "entry-2")
@@ -74,9 +74,10 @@
             self.assertEqual(["drafts"], [group.service for group in groups])
 
     @on_test_clock
-    async def test_entry_that_starts_in_an_outage_serves_once_peers_have_told_it(self):
-        # The key-value service is down for all. A replaced entry comes up with nothing but its
-        # settings. It refuses truthfully until it has configuration and plan, then serves.
+    async def test_entry_started_in_an_outage_serves_after_sync_with_peers(self):
+        # The key-value service is down for all entries. A replaced entry starts with only its
+        # settings. It must refuse requests as not run until it has configuration and plan from
+        # its peers, and serve them after that.
         async with running(started=NAMES[:2]) as site:
             await apply(site)
             await trio.sleep(5)
@@ -94,9 +95,10 @@
             self.assertEqual(200, answer.status, answer.body)
 
     @on_test_clock
-    async def test_dead_watches_delay_no_change(self):
-        # Every entry's watches died unnoticed and tell nothing until the next regular read, 20 s
-        # later. The entry that accepts the change reads it itself, and its peers hear the number.
+    async def test_dead_watches_do_not_delay_changes(self):
+        # The watches of all entries have failed undetected and report no change until the next
+        # regular read, 20 s later. The entry that accepts the change reads it itself, and its
+        # peers must detect the number in its heartbeats.
         async with running() as site:
             await apply(site)
             await trio.sleep(2)
@@ -108,8 +110,8 @@
                 self.assertEqual(2, site.app(name).configuration.current.number)
 
     @on_test_clock
-    async def test_any_entry_shows_what_is_in_force_on_all(self):
-        # Entries 0 and 2 cannot reach each other; entry 1 passes on what each says of itself.
+    async def test_any_entry_reports_the_configuration_of_all(self):
+        # Entries 0 and 2 cannot reach each other; entry 1 must forward the facts of each.
         async with running() as site:
             site.network.cut("entry-0", "entry-2")
             await trio.sleep(4)
@@ -121,9 +123,10 @@
                 self.assertEqual(dict.fromkeys(NAMES, 1), numbers)
 
     @on_test_clock
-    async def test_entry_told_by_peers_reads_on_correctly_when_the_platform_is_back(self):
-        # Entry 2 read number 1 itself, got 2 from peers during its outage, and reads from the
-        # store's revision of number 1 again afterwards. It must end with what all others have.
+    async def test_entry_synced_by_peers_reads_correctly_after_its_outage(self):
+        # Entry 2 read configuration 1 itself, got number 2 from peers during its outage, and
+        # afterwards reads from the store's revision of number 1 again. It must end with the same
+        # configuration as all others.
         async with running() as site:
             await apply(site)
             await trio.sleep(2)
@@ -136,15 +139,15 @@
             self.assertEqual(200, answer.status)
             site.platform.set_mode("up", "entry-2")
             await trio.sleep(5)
-            found = site.app("entry-2").configuration.current
-            self.assertEqual(site.app("entry-0").configuration.current, found)
-            self.assertEqual({"zone-b"}, found.zones_out)
-            self.assertEqual(2, found.rules.services[0].replicas)
+            synced = site.app("entry-2").configuration.current
+            self.assertEqual(site.app("entry-0").configuration.current, synced)
+            self.assertEqual({"zone-b"}, synced.zones_out)
+            self.assertEqual(2, synced.rules.services[0].replicas)
 
     @on_test_clock
-    async def test_stopping_entry_leaves_every_directory_at_once(self):
-        # Callers must not be sent to an entry that stops. The key-value service is silent, so
-        # only the entry's own word over the peers' streams can tell.
+    async def test_stopping_entry_is_removed_from_all_address_lists_at_once(self):
+        # Callers must not be sent to a stopping entry. The key-value service does not respond, so
+        # its peers learn of the stop only from the entry itself, over their streams.
         async with running() as site:
             await apply(site)
             await trio.sleep(3)
@@ -157,21 +160,21 @@
             self.assertEqual(2, len(addresses))
 
 
-class OrderTest(unittest.TestCase):
+class RevisionOrderTest(unittest.TestCase):
     def test_older_delta_is_never_applied(self):
-        # A peer's answer was under way while the platform told a later configuration.
+        # A peer's delta arrives after a later configuration was read from the key-value service.
         newer = snapshot.Delta(0, 5, (_zones_part(5, "zone-a"),))
         older = snapshot.Delta(0, 4, (_zones_part(4, "zone-b"),))
-        held = holder.ConfigurationHolder()
-        self.assertTrue(held.apply(newer, "platform"))
-        self.assertFalse(held.apply(older, "peer"))
-        self.assertEqual({"zone-a"}, held.current.zones_out)
+        config_holder = holder.ConfigurationHolder()
+        self.assertTrue(config_holder.apply(newer, "platform"))
+        self.assertFalse(config_holder.apply(older, "peer"))
+        self.assertEqual({"zone-a"}, config_holder.current.zones_out)
 
-    def test_delta_with_a_gap_changes_nothing(self):
-        held = holder.ConfigurationHolder()
+    def test_delta_with_a_gap_is_rejected(self):
+        config_holder = holder.ConfigurationHolder()
         with self.assertRaises(snapshot.SnapshotError):
-            held.apply(snapshot.Delta(3, 5, ()), "peer")
-        self.assertEqual(0, held.current.number)
+            config_holder.apply(snapshot.Delta(3, 5, ()), "peer")
+        self.assertEqual(0, config_holder.current.number)
 
     def test_older_plan_of_a_domain_is_never_applied(self):
         plans = plan.PlanHolder()
@@ -187,7 +190,7 @@
 
 class MemoryPlatformTest(unittest.TestCase):
     @on_test_clock
-    async def test_leases_do_not_run_out_while_the_whole_service_is_down(self):
+    async def test_leases_do_not_expire_while_the_service_is_down(self):
         platform = memory.MemoryPlatform()
         own = platform.client("entry-0")
         lease = await own.grant_lease(4)
