--- a/toucanhold/peers/messages.py
+++ b/toucanhold/peers/messages.py
@@ -129,7 +129,7 @@
 
     :ivar fingerprint: hash of the request
     :ivar boot_id: unique to the backend server's process
-    :ivar company: number of requests that ran there at the same time
+    :ivar company: number of requests that ran there at that time, including this one
     :ivar alone: whether the request ran in isolation on the backend server
     :ivar verdict: ``pending``, ``died`` or ``dismissed``
     """
