--- a/toucanhold/callers/order_keys.py
+++ b/toucanhold/callers/order_keys.py
@@ -21,7 +21,7 @@
     :ivar closed: set when this entry stops: keys of a process that ends are of no use
     """
 
-    orders: issued.IssuedOrders
+    orders: issued.IssuedKeyExecutor
     closed: bool = False
 
     async def answer(self, receive: asgi.Receive, workspace: str) -> dict:
@@ -58,8 +58,8 @@
             RecursionError,
         ) as error:
             raise _malformed("the body must be a JSON object") from error
-        if type(count) is not int or not 1 <= count <= issued.MAX_KEYS_AT_ONCE:
-            raise _malformed(f"count must be 1 to {issued.MAX_KEYS_AT_ONCE}")
+        if type(count) is not int or not 1 <= count <= issued.MAX_KEYS_PER_REQUEST:
+            raise _malformed(f"count must be 1 to {issued.MAX_KEYS_PER_REQUEST}")
         return count
 
 
