--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -165,7 +165,7 @@
         await trio.lowlevel.checkpoint()
         engine = self.engines[address]
         if engine.mode is Mode.REFUSING and address not in self.cut:
-            raise client.RefusedError(f"{address}: refused")
+            raise client.ConnectRefusedError(f"{address}: refused")
         if engine.mode is not Mode.UP or address in self.cut:
             await trio.sleep(timeout_s)
             raise client.AnswerLostError(f"{address}: no answer")
--- a/tests/test_backend_http.py
+++ b/tests/test_backend_http.py
@@ -101,7 +101,7 @@
     def test_answer_with_another_id_is_refused_whatever_its_status(self):
         async def check(backends, address, server):
             for _ in range(2):
-                with self.assertRaises(client.WrongAnswerError):
+                with self.assertRaises(client.MismatchedAnswerError):
                     await self._read(backends, address, request_of("1"))
 
         wrong = OK % (b"other", b"ok")
--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -102,7 +102,7 @@
             orders,
             found,
             metrics.Metrics("own"),
-            reading.Limits(BODY_LIMIT_BYTES, 5.0, 10.0, body_timeout_s=0.3),
+            reading.RequestLimits(BODY_LIMIT_BYTES, 5.0, 10.0, body_timeout_s=0.3),
             self.max_in_flight,
         )
 
--- a/toucanhold/backends/client.py
+++ b/toucanhold/backends/client.py
@@ -18,7 +18,7 @@
     """No byte of the request left: it certainly did not run."""
 
 
-class RefusedError(NotSentError):
+class ConnectRefusedError(NotSentError):
     """Nothing listens at the address: the process is gone, not merely slow or cut off."""
 
 
@@ -26,7 +26,7 @@
     """The request was sent at least in part: it may have run."""
 
 
-class WrongAnswerError(AnswerLostError):
+class MismatchedAnswerError(AnswerLostError):
     """The answer belongs to another request."""
 
 
--- a/toucanhold/backends/http.py
+++ b/toucanhold/backends/http.py
@@ -193,7 +193,7 @@
     # at a time and is closed after any irregular end, is what ties the answer to its request.
     found = _header(response.headers, REQUEST_ID_HEADER)
     if found not in (None, request.request_id.encode()):
-        raise client.WrongAnswerError(f"{address}: an answer to another request")
+        raise client.MismatchedAnswerError(f"{address}: an answer to another request")
 
 
 def _check_framing(
@@ -265,7 +265,7 @@
         yield
     except CONNECT_ERRORS as error:
         if refusals.is_refusal(error):
-            raise client.RefusedError(f"{address}: nothing listens there") from error
+            raise client.ConnectRefusedError(f"{address}: nothing listens there") from error
         raise client.NotSentError(f"{address}: cannot connect: {error!r}") from error
     except TRANSFER_ERRORS as error:
         raise kind(f"{address}: connection lost: {error!r}") from error
--- a/toucanhold/callers/app.py
+++ b/toucanhold/callers/app.py
@@ -45,7 +45,7 @@
     orders: keeper.OrderKeeper
     directory: directory.Directory
     metrics: metrics.Metrics
-    limits: reading.Limits
+    limits: reading.RequestLimits
     max_in_flight: int
     order_keys: order_keys.OrderKeys = attrs.field(init=False)
     bodies: bodies.OpenBodies = attrs.field(init=False)
--- a/toucanhold/callers/reading.py
+++ b/toucanhold/callers/reading.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class Limits:
+class RequestLimits:
     """What one caller's request may take.
 
     :ivar body_bytes: largest request body
@@ -53,7 +53,7 @@
 
     configuration: holder.ConfigurationHolder
     permit: permit.WorkPermit
-    limits: Limits
+    limits: RequestLimits
     bodies: bodies.OpenBodies
 
     async def read(
--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -245,7 +245,9 @@
             self.orders,
             self._new_directory(),
             self.metrics,
-            callers_reading.Limits(own.body_limit_bytes, own.default_timeout_s, own.max_timeout_s),
+            callers_reading.RequestLimits(
+                own.body_limit_bytes, own.default_timeout_s, own.max_timeout_s
+            ),
             own.max_requests_in_flight,
         )
         self.status_composer = status.StatusComposer(
@@ -258,7 +260,7 @@
             self.planner,
             self.configuration_follower,
         )
-        operators_changes = changes.Changes(
+        operators_changes = changes.ChangeCoordinator(
             self.store,
             self.configuration,
             self.holds,
--- a/toucanhold/observing/poller.py
+++ b/toucanhold/observing/poller.py
@@ -52,7 +52,7 @@
         asked_at_s = trio.current_time()
         try:
             report = await self.backends.read_report(vm.address, POLL_TIMEOUT_S)
-        except client.RefusedError as error:
+        except client.ConnectRefusedError as error:
             self.view.record_refusal(vm.vm, trio.current_time(), str(error))
             return POLL_INTERVAL_S if self.view.is_refused(vm.vm) else REFUSED_RECHECK_S
         except client.BackendError as error:
--- a/toucanhold/operators/app.py
+++ b/toucanhold/operators/app.py
@@ -41,7 +41,7 @@
     :ivar tokens: what operators must present one of; compared in constant time
     """
 
-    changes: changes.Changes
+    changes: changes.ChangeCoordinator
     configuration: holder.ConfigurationHolder
     status: status.StatusComposer
     previewer: preview.Previewer
--- a/toucanhold/operators/changes.py
+++ b/toucanhold/operators/changes.py
@@ -23,7 +23,7 @@
 
 
 @attrs.define(eq=False)
-class Changes:
+class ChangeCoordinator:
     """Carries out checked changes.
 
     :ivar spreader: puts holds in force at once and makes them durable later
--- a/toucanhold/routing/incidents.py
+++ b/toucanhold/routing/incidents.py
@@ -189,5 +189,5 @@
             raise
 
     def _record_loss(self, tracked: TrackedRequest, error: client.AnswerLostError) -> None:
-        if not isinstance(error, client.WrongAnswerError):
+        if not isinstance(error, client.MismatchedAnswerError):
             self.tracker.record_loss(tracked)
