--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -1,5 +1,5 @@
-"""Callers' HTTP: whatever they send, they get a typed problem or a clean close, and no other
-caller notices."""
+"""The callers' HTTP interface: invalid input gets a typed problem or a closed connection, without
+effect on other callers."""
 
 import contextlib
 import json
@@ -41,13 +41,13 @@
 
 @attrs.define(eq=False)
 class EchoDispatcher:
-    """Answers with what it was given; a path or body names what goes wrong."""
+    """Echoes the request body; a word in the body selects a failure or a delay."""
 
-    seen: list = attrs.field(factory=list)
+    seen_requests: list = attrs.field(factory=list)
 
     @contextlib.asynccontextmanager
     async def serve(self, request):
-        self.seen.append(request)
+        self.seen_requests.append(request)
         if b"fault" in request.body:
             raise ValueError("a fault of our own")
         if b"slow" in request.body:
@@ -68,7 +68,7 @@
     tls_files = ("", "")
 
     def serve(self, check):
-        """Run ``check`` against the app on a real server."""
+        """Run ``check`` while the app is served by a real HTTP server."""
 
         async def main():
             (self.address,) = processes.free_addresses(1)
@@ -89,10 +89,12 @@
             snapshot.from_parts(1, {snapshot.RULES_PART: part})
         )
         self.dispatcher = EchoDispatcher()
-        own = roster.Member("own", "zone-a", self.address, "", "", boot="boot")
-        entries = roster.Roster(own)
-        table = facts.FactTable(facts.EntryFact(own, 1))
-        found = directory.Directory(entries, table, 1.0, frozenset, lambda: True, random.Random(1))
+        own_member = roster.Member("own", "zone-a", self.address, "", "", boot="boot")
+        member_roster = roster.Roster(own_member)
+        fact_table = facts.FactTable(facts.EntryFact(own_member, 1))
+        entry_directory = directory.Directory(
+            member_roster, fact_table, 1.0, frozenset, lambda: True, random.Random(1)
+        )
         orders = order_fakes.new_entry("own", order_fakes.FakeKeyValue(), self.dispatcher).keeper
         permit = mock.Mock(refusal=lambda: None)
         return app.CallersApp(
@@ -100,7 +102,7 @@
             permit,
             self.dispatcher,
             orders,
-            found,
+            entry_directory,
             metrics.Metrics("own"),
             reading.RequestLimits(BODY_LIMIT_BYTES, 5.0, 10.0, body_timeout_s=0.3),
             self.max_in_flight,
@@ -114,11 +116,11 @@
                 method, f"{scheme}://{self.address}{path}", headers=headers, content=content
             )
 
-    async def chat(self, body, headers=JSON):
+    async def post_chat(self, body, headers=JSON):
         return await self.call("POST", "/v1/chat/completions", body, headers)
 
-    async def raw(self, data, wait_s=2.0):
-        """Send bytes on a connection and return all that comes back until it is closed."""
+    async def send_raw(self, data, wait_s=2.0):
+        """Send bytes on a new connection and return what is received until it closes."""
         host, _, port = self.address.partition(":")
         stream = await trio.open_tcp_stream(host, int(port))
         answer = b""
@@ -136,12 +138,12 @@
         self.assertEqual("did-not-run", details["outcome"])
 
 
-class MistakeTest(HttpTest):
-    def test_mistakes_get_their_problem_and_run_nothing(self):
-        self.serve(self._mistakes)
-        self.assertEqual([], self.dispatcher.seen)
+class InvalidRequestTest(HttpTest):
+    def test_invalid_requests_get_their_problem_and_do_not_run(self):
+        self.serve(self._check_invalid_requests)
+        self.assertEqual([], self.dispatcher.seen_requests)
 
-    async def _mistakes(self):
+    async def _check_invalid_requests(self):
         deep = b'{"model": "drafts", "x": ' + b"[" * 400 + b"]" * 400 + b"}"
         problem = requests.Problem
         for body in (
@@ -155,31 +157,31 @@
             b"\xff\xfe",
             b'{"model": NaN}',
         ):
-            self.check_problem(await self.chat(body), problem.MALFORMED)
+            self.check_problem(await self.post_chat(body), problem.MALFORMED)
         for fields in ({"stream": "yes"}, {"stream": 1}, {"stream": []}):
-            self.check_problem(await self.chat(CHAT | fields), problem.MALFORMED)
+            self.check_problem(await self.post_chat(CHAT | fields), problem.MALFORMED)
         for name in ("none", 7, [], {}, None, "x" * 900):
-            self.check_problem(await self.chat({"model": name}), problem.UNKNOWN_SERVICE)
+            self.check_problem(await self.post_chat({"model": name}), problem.UNKNOWN_SERVICE)
         wrong = {"content-type": "text/plain"}
-        self.check_problem(await self.chat(CHAT, wrong), problem.WRONG_CONTENT_TYPE)
-        self.check_problem(await self.chat(b"x" * 1001), problem.TOO_LARGE)
+        self.check_problem(await self.post_chat(CHAT, wrong), problem.WRONG_CONTENT_TYPE)
+        self.check_problem(await self.post_chat(b"x" * 1001), problem.TOO_LARGE)
         for text in ("x", "0", "-1", "nan", "inf", "11"):
             headers = JSON | {"toucanhold-timeout-s": text}
-            self.check_problem(await self.chat(CHAT, headers), problem.MALFORMED)
+            self.check_problem(await self.post_chat(CHAT, headers), problem.MALFORMED)
         for workspace in ("x" * 65, "a b", "é".encode("latin-1")):
             headers = JSON | {"toucanhold-workspace": workspace}
-            self.check_problem(await self.chat(CHAT, headers), problem.MALFORMED)
+            self.check_problem(await self.post_chat(CHAT, headers), problem.MALFORMED)
         for key in ("", "a b", "x" * 256, "é".encode("latin-1")):
             answer = await self.call(
                 "POST", "/services/valves/open/7", b"", JSON | {"idempotency-key": key}
             )
             self.check_problem(answer, problem.MALFORMED)
 
-    def test_wrong_paths_and_methods(self):
-        self.serve(self._paths)
-        self.assertEqual([], self.dispatcher.seen)
+    def test_unknown_paths_and_wrong_methods_do_not_run(self):
+        self.serve(self._check_paths_and_methods)
+        self.assertEqual([], self.dispatcher.seen_requests)
 
-    async def _paths(self):
+    async def _check_paths_and_methods(self):
         problem = requests.Problem
         for path in ("/", "/v1", "/v1/models/x", "/services", "/toucanhold/v1/none"):
             self.check_problem(await self.call("GET", path), problem.UNKNOWN_SERVICE)
@@ -197,26 +199,26 @@
             answer = await self.call("HEAD", path)
             self.assertEqual((200, b""), (answer.status, answer.content))
 
-    def test_other_spellings_of_an_order_are_no_idempotent_call(self):
-        # The rule names "/open/*". A service that tidies paths up would run the order for each
-        # of these, and it would be retried like a lookup.
-        self.serve(self._spellings)
+    def test_equivalent_paths_of_an_order_are_not_idempotent(self):
+        # The rule names "/open/*". A service that normalises paths would run the order for each
+        # of these paths, and the router would retry it like an idempotent call.
+        self.serve(self._check_equivalent_paths)
 
-    async def _spellings(self):
+    async def _check_equivalent_paths(self):
         for path in ("//open/7", "/./open/7", "/x/../open/7", "/%2e/open/7", "/open//7"):
             answer = await self.call("POST", f"/services/valves{path}")
             self.check_problem(answer, requests.Problem.MALFORMED)
-        self.assertEqual([], self.dispatcher.seen)
+        self.assertEqual([], self.dispatcher.seen_requests)
         for path in ("/open/7", "/open/7/", "/%6fpen/7", "/open%2F7", "/publish", "/publish/"):
             reader, scope = self.app.reader, _scope("POST", f"/services/valves{path}")
-            with self.app.bodies.hold() as held:
-                request = await reader.read(scope, _no_body, "id", held)
+            with self.app.body_memory.open_reservation() as reservation:
+                request = await reader.read(scope, _no_body, "id", reservation)
             self.assertFalse(request.may_repeat, path)
 
-    def test_order_keys_mistakes(self):
-        self.serve(self._order_keys)
+    def test_invalid_order_key_requests_are_refused(self):
+        self.serve(self._check_order_key_requests)
 
-    async def _order_keys(self):
+    async def _check_order_key_requests(self):
         path = "/toucanhold/v1/order-keys"
         for body in (b"x", b"[]", b'{"count": 0}', b'{"count": 101}', b'{"count": true}'):
             self.check_problem(await self.call("POST", path, body), requests.Problem.MALFORMED)
@@ -243,17 +245,17 @@
 class ConnectionTest(HttpTest):
     max_in_flight = 3
 
-    def test_raw_mistakes_end_their_own_connection_only(self):
-        self.serve(self._raw)
+    def test_malformed_http_affects_only_its_connection(self):
+        self.serve(self._check_malformed_http)
 
-    async def _raw(self):
+    async def _check_malformed_http(self):
         async with trio.open_nursery() as nursery:
-            others = []
+            other_statuses = []
 
-            async def other():
-                others.append((await self.chat(CHAT | {"x": "slow"})).status)
+            async def send_slow_request():
+                other_statuses.append((await self.post_chat(CHAT | {"x": "slow"})).status)
 
-            nursery.start_soon(other)
+            nursery.start_soon(send_slow_request)
             await trio.sleep(0.1)
             host = b"host: x\r\n"
             for data in (
@@ -268,22 +270,22 @@
                 + host
                 + b"transfer-encoding: chunked\r\n\r\nzz\r\n",
             ):
-                answer = await self.raw(data)
+                answer = await self.send_raw(data)
                 self.assertRegex(answer, rb"^HTTP/1.1 4\d\d ", data[:60])
-        self.assertEqual([200], others)
+        self.assertEqual([200], other_statuses)
 
-    def test_duplicate_headers_that_decide_are_refused(self):
-        self.serve(self._duplicates)
+    def test_duplicate_control_headers_are_refused(self):
+        self.serve(self._check_duplicate_headers)
 
-    async def _duplicates(self):
+    async def _check_duplicate_headers(self):
         for name in ("idempotency-key", "toucanhold-workspace", "toucanhold-timeout-s"):
             headers = [("content-type", "application/json"), (name, "1"), (name, "2")]
-            self.check_problem(await self.chat(CHAT, headers), requests.Problem.MALFORMED)
+            self.check_problem(await self.post_chat(CHAT, headers), requests.Problem.MALFORMED)
 
     def test_pipelined_requests_are_answered_in_order(self):
-        self.serve(self._pipelined)
+        self.serve(self._check_pipelining)
 
-    async def _pipelined(self):
+    async def _check_pipelining(self):
         def post(number):
             body = b'{"model": "drafts", "n": %d}' % number
             return (
@@ -291,40 +293,40 @@
                 % (len(body), body)
             )
 
-        answer = await self.raw(b"".join(map(post, range(3))), wait_s=1.0)
+        answer = await self.send_raw(b"".join(map(post, range(3))), wait_s=1.0)
         numbers = [answer.index(b'"n": %d' % number) for number in range(3)]
         self.assertEqual(sorted(numbers), numbers)
         self.assertEqual(3, answer.count(b"HTTP/1.1 200"))
 
-    def test_slow_and_abandoned_bodies_give_their_place_back(self):
-        self.serve(self._slow)
+    def test_slow_and_abandoned_bodies_release_their_slots(self):
+        self.serve(self._check_slow_bodies)
 
-    async def _slow(self):
+    async def _check_slow_bodies(self):
         head = b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 500\r\n\r\n{"
         async with trio.open_nursery() as nursery:
-            slow = []
+            slow_responses = []
 
             async def send_slowly():
-                slow.append(await self.raw(head))
+                slow_responses.append(await self.send_raw(head))
 
             nursery.start_soon(send_slowly)
             for _ in range(3):
-                await self.raw(head, wait_s=0.02)
-        self.assertIn(b"408", slow[0].splitlines()[0])
-        self.assertIn(b"body-timeout", slow[0])
-        self.assertEqual(200, (await self.chat(CHAT)).status)
+                await self.send_raw(head, wait_s=0.02)
+        self.assertIn(b"408", slow_responses[0].splitlines()[0])
+        self.assertIn(b"body-timeout", slow_responses[0])
+        self.assertEqual(200, (await self.post_chat(CHAT)).status)
         await trio.sleep(0.1)
         self.assertEqual(0, self.app.in_flight)
-        self.assertEqual(0, self.app.bodies._held_bytes)
+        self.assertEqual(0, self.app.body_memory._reserved_bytes)
 
-    def test_open_requests_are_bounded_and_refused_at_once(self):
-        self.serve(self._bounded)
+    def test_requests_beyond_the_limit_are_refused_at_once(self):
+        self.serve(self._check_request_limit)
 
-    async def _bounded(self):
+    async def _check_request_limit(self):
         answers = []
 
         async def send():
-            answers.append(await self.chat(CHAT | {"x": "slow"}))
+            answers.append(await self.post_chat(CHAT | {"x": "slow"}))
 
         async with trio.open_nursery() as nursery:
             for _ in range(10):
@@ -336,54 +338,54 @@
                 self.check_problem(answer, requests.Problem.OVERLOADED)
                 self.assertIn(b"retry-after", [key.lower() for key, _ in answer.headers])
 
-    def test_bytes_of_open_bodies_are_bounded(self):
-        self.serve(self._bodies)
+    def test_total_size_of_open_bodies_is_bounded(self):
+        self.serve(self._check_body_memory)
 
-    async def _bodies(self):
-        with self.app.bodies.hold() as held:
-            held.grow(self.app.bodies.limit_bytes)
-            self.check_problem(await self.chat(CHAT), requests.Problem.OVERLOADED)
-        self.assertEqual(200, (await self.chat(CHAT)).status)
+    async def _check_body_memory(self):
+        with self.app.body_memory.open_reservation() as reservation:
+            reservation.grow(self.app.body_memory.limit_bytes)
+            self.check_problem(await self.post_chat(CHAT), requests.Problem.OVERLOADED)
+        self.assertEqual(200, (await self.post_chat(CHAT)).status)
 
 
-class OwnFaultTest(HttpTest):
-    def test_own_fault_is_told_without_a_claim_about_the_outcome(self):
-        self.serve(self._fault)
+class InternalErrorTest(HttpTest):
+    def test_internal_error_reports_an_unknown_outcome(self):
+        self.serve(self._check_internal_error)
 
-    async def _fault(self):
+    async def _check_internal_error(self):
         with self.assertLogs("toucanhold.callers.app", "ERROR"):
-            answer = await self.chat(CHAT | {"x": "fault"})
+            answer = await self.post_chat(CHAT | {"x": "fault"})
         self.assertEqual((500, "unknown"), (answer.status, json.loads(answer.content)["outcome"]))
-        self.assertEqual(200, (await self.chat(CHAT)).status)
+        self.assertEqual(200, (await self.post_chat(CHAT)).status)
 
 
-class TornAnswerTest(HttpTest):
-    def test_stream_that_breaks_off_is_an_error_for_the_client(self):
-        self.serve(self._torn)
+class TruncatedResponseTest(HttpTest):
+    def test_truncated_stream_raises_an_error_at_the_client(self):
+        self.serve(self._check_truncated_responses)
 
-    async def _torn(self):
+    async def _check_truncated_responses(self):
         with self.assertRaises(httpcore.RemoteProtocolError):
-            await self.chat(CHAT | {"x": "torn", "stream": True})
-        answer = await self.chat(CHAT | {"x": "torn"})
+            await self.post_chat(CHAT | {"x": "torn", "stream": True})
+        answer = await self.post_chat(CHAT | {"x": "torn"})
         self.assertEqual((502, "unknown"), (answer.status, json.loads(answer.content)["outcome"]))
 
-    def test_whole_answer_tells_its_length_also_to_old_clients(self):
-        self.serve(self._old_client)
+    def test_http_1_0_response_has_a_content_length(self):
+        self.serve(self._check_http_1_0)
 
-    async def _old_client(self):
+    async def _check_http_1_0(self):
         body = b'{"model": "drafts"}'
-        answer = await self.raw(
+        answer = await self.send_raw(
             b"POST /v1/chat/completions HTTP/1.0\r\nhost: x\r\ncontent-length: %d\r\n\r\n%s"
             % (len(body), body)
         )
         self.assertIn(b"\r\ncontent-length: ", answer.lower())
 
-    def test_backend_answer_that_breaks_off_is_lost(self):
+    def test_truncated_backend_response_is_lost(self):
         for head in (b"content-length: 20", b"transfer-encoding: chunked"):
             with self.subTest(head=head):
-                trio.run(self._backend, head)
+                trio.run(self._check_backend_response, head)
 
-    async def _backend(self, head):
+    async def _check_backend_response(self, head):
         async def answer(stream):
             await stream.receive_some()
             await stream.send_all(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\n5\r\nabcde\r\n")
@@ -415,10 +417,10 @@
         self.context = ssl.create_default_context()
         authority.configure_trust(self.context)
 
-    def test_callers_are_served_over_tls_and_see_torn_streams(self):
-        self.serve(self._tls)
+    def test_tls_callers_are_served_and_detect_truncated_streams(self):
+        self.serve(self._check_tls)
 
-    async def _tls(self):
+    async def _check_tls(self):
         options = {"ssl_context": self.context}
         path = "/v1/chat/completions"
         answer = await self.call("POST", path, CHAT, **options)
--- a/tests/test_callers_page.py
+++ b/tests/test_callers_page.py
@@ -1,4 +1,4 @@
-"""The callers' page names every problem, with its status."""
+"""The callers' page documents every problem, path, header and limit of the callers' interface."""
 
 import pathlib
 import re
@@ -12,15 +12,20 @@
 
 
 class CallersPageTest(unittest.TestCase):
-    def test_every_problem_is_listed(self):
+    def test_every_problem_is_listed_with_its_status(self):
         rows = re.findall(r"^\| `([a-z-]+)` \| (\d+) \|", PAGE.read_text(), re.MULTILINE)
-        known = {problem.slug: str(problem.status) for problem in requests.Problem}
-        self.assertEqual(known, dict(rows))
+        expected = {problem.slug: str(problem.status) for problem in requests.Problem}
+        self.assertEqual(expected, dict(rows))
 
-    def test_paths_headers_and_limits_are_the_codes_own(self):
+    def test_paths_headers_and_limits_match_the_code(self):
         page = PAGE.read_text()
         headers = (reading.WORKSPACE_HEADER, reading.TIMEOUT_HEADER, reading.ZONE_HEADER)
-        for name in (*headers, reading.KEY_HEADER, app.ADDRESSES_PATH, app.ORDER_KEYS_PATH):
+        for name in (
+            *headers,
+            reading.KEY_HEADER,
+            app.ADDRESSES_PATH,
+            app.ORDER_KEYS_PATH,
+        ):
             self.assertIn(name, page)
         self.assertIn(f"{records.KEPT_BODY_LIMIT_BYTES} bytes", page)
         self.assertIn(f"at least {leases.KEPT_S / 3600:.0f} hours", page)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Which entries the directory names, in which order, and to whom."""
+"""Which entries the directory lists for a caller, and in which order."""
 
 import collections
 import random
@@ -20,75 +20,77 @@
         own = new_member("own")
         self.roster = roster.Roster(own)
         self.facts = facts.FactTable(facts.EntryFact(own, 1))
-        self.connected = set()
-        self.ready = True
+        self.connected_peers = set()
+        self.is_ready = True
 
-    def hear(self, *members, configuration=1):
+    def add_connected(self, *members, configuration=1):
         for member in members:
             self.roster.update_from_peer(member)
             self.facts.merge(facts.EntryFact(member, 1, configuration=configuration), member.entry)
-            self.connected.add(member.entry)
+            self.connected_peers.add(member.entry)
 
-    def answers(self, *callers, zone="", wait_s=0.0):
-        found = directory.Directory(
+    def lookup(self, *callers, zone="", wait_s=0.0):
+        entry_directory = directory.Directory(
             self.roster,
             self.facts,
             4.0,
-            lambda: frozenset(self.connected),
-            lambda: self.ready,
+            lambda: frozenset(self.connected_peers),
+            lambda: self.is_ready,
             random.Random(1),
         )
 
-        async def ask():
-            found.answer()
+        async def look_up():
+            entry_directory.lookup()
             await trio.sleep(wait_s)
-            return [found.answer(caller, zone) for caller in callers or ("caller",)]
+            return [entry_directory.lookup(caller, zone) for caller in callers or ("caller",)]
 
-        return trio.run(ask, clock=trio.testing.MockClock(autojump_threshold=0))
+        return trio.run(look_up, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def names(self, **options):
-        addresses = self.answers(**options)[0]["addresses"]
-        return {each["address"].removeprefix("address-of-") for each in addresses}
+    def listed_entries(self, **options):
+        addresses = self.lookup(**options)[0]["addresses"]
+        return {item["address"].removeprefix("address-of-") for item in addresses}
 
-    def test_entries_that_stop_or_are_not_ready_are_left_out(self):
-        self.hear(new_member("good"), new_member("bad", state=roster.EntryState.STOPPING))
-        self.hear(new_member("new"), configuration=0)
-        self.assertEqual({"own", "good"}, self.names())
-        self.ready = False
-        self.assertEqual({"good"}, self.names())
-        self.ready = True
+    def test_stopping_and_unready_entries_are_left_out(self):
+        self.add_connected(new_member("good"), new_member("bad", state=roster.EntryState.STOPPING))
+        self.add_connected(new_member("new"), configuration=0)
+        self.assertEqual({"own", "good"}, self.listed_entries())
+        self.is_ready = False
+        self.assertEqual({"good"}, self.listed_entries())
+        self.is_ready = True
         self.roster.set_own_state(roster.EntryState.STOPPING)
-        self.assertEqual({"good"}, self.names())
-
-    def test_entry_that_fell_silent_is_left_out_also_while_the_platform_is_out(self):
-        # Entry "dead" was killed in an outage of the platform, whose last list names it for ever.
-        # Callers would be sent to it until the outage ends.
-        self.hear(new_member("good"), new_member("dead"))
-        self.connected.discard("dead")
-        self.assertEqual({"own", "good", "dead"}, self.names())
-        self.assertEqual({"own", "good"}, self.names(wait_s=directory.SILENT_S))
-
-    def test_entry_that_is_cut_off_judges_nobody(self):
-        self.hear(new_member("one"), new_member("two"))
-        self.connected.clear()
-        self.assertEqual({"own", "one", "two"}, self.names(wait_s=60))
-
-    def test_callers_zone_comes_first_and_callers_spread(self):
-        self.hear(*(new_member(f"a-{number}") for number in range(3)))
-        self.hear(*(new_member(f"b-{number}", "zone-b") for number in range(3)))
+        self.assertEqual({"good"}, self.listed_entries())
+
+    def test_disconnected_entry_is_left_out_during_a_platform_outage(self):
+        # Entry "dead" was killed during a platform outage, so its lease cannot expire and the last
+        # list still names it. Callers would be sent to it until the outage ends.
+        self.add_connected(new_member("good"), new_member("dead"))
+        self.connected_peers.discard("dead")
+        self.assertEqual({"own", "good", "dead"}, self.listed_entries())
+        self.assertEqual({"own", "good"}, self.listed_entries(wait_s=directory.UNREACHABLE_AFTER_S))
+
+    def test_partitioned_entry_leaves_no_entry_out(self):
+        self.add_connected(new_member("one"), new_member("two"))
+        self.connected_peers.clear()
+        self.assertEqual({"own", "one", "two"}, self.listed_entries(wait_s=60))
+
+    def test_callers_zone_comes_first_and_load_is_spread(self):
+        self.add_connected(*(new_member(f"a-{number}") for number in range(3)))
+        self.add_connected(*(new_member(f"b-{number}", "zone-b") for number in range(3)))
         callers = [f"caller-{number}" for number in range(300)]
-        answers = self.answers(*callers, zone="zone-b")
-        firsts = collections.Counter(answer["addresses"][0]["address"] for answer in answers)
-        self.assertEqual({f"address-of-b-{number}" for number in range(3)}, set(firsts))
-        self.assertGreater(min(firsts.values()), 60)
-        zones = [each["availability_zone"] for each in answers[0]["addresses"]]
+        responses = self.lookup(*callers, zone="zone-b")
+        first_addresses = collections.Counter(
+            response["addresses"][0]["address"] for response in responses
+        )
+        self.assertEqual({f"address-of-b-{number}" for number in range(3)}, set(first_addresses))
+        self.assertGreater(min(first_addresses.values()), 60)
+        zones = [item["availability_zone"] for item in responses[0]["addresses"]]
         self.assertEqual(["zone-b"] * 3 + ["zone-a"] * 4, zones)
 
-    def test_answer_is_bounded_and_its_time_varies_below_the_limit(self):
-        self.hear(*(new_member(f"entry-{number}") for number in range(389)))
-        answers = self.answers(*(f"caller-{number}" for number in range(50)))
-        self.assertEqual({directory.MAX_ADDRESSES}, {len(each["addresses"]) for each in answers})
-        times = {answer["keep_s"] for answer in answers}
+    def test_list_is_bounded_and_cache_time_has_jitter(self):
+        self.add_connected(*(new_member(f"entry-{number}") for number in range(389)))
+        responses = self.lookup(*(f"caller-{number}" for number in range(50)))
+        self.assertEqual({directory.MAX_ADDRESSES}, {len(item["addresses"]) for item in responses})
+        times = {response["keep_s"] for response in responses}
         self.assertGreater(len(times), 25)
         self.assertLessEqual(max(times), 4.0)
         self.assertGreaterEqual(min(times), 3.0)
--- a/toucanhold/callers/__init__.py
+++ b/toucanhold/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' interface: OpenAI-compatible paths, plain services, and the directory."""
+"""The callers' HTTP interface: OpenAI-compatible paths, plain services and the directory."""
--- a/toucanhold/callers/app.py
+++ b/toucanhold/callers/app.py
@@ -1,4 +1,4 @@
-"""The callers' ASGI application."""
+"""The ASGI application of the callers' interface."""
 
 from __future__ import annotations
 
@@ -21,8 +21,9 @@
 MODELS_PATH = "/v1/models"
 ORDER_KEYS_PATH = "/toucanhold/v1/order-keys"
 READ_METHODS = ("GET", "HEAD")
-# Enough for sixteen of the largest bodies, or thousands of ordinary ones.
-LARGEST_BODIES_OPEN = 16
+# Bounds the memory for all open bodies, in units of the largest body. Most bodies are far
+# smaller, so thousands of ordinary ones fit.
+MAX_FULL_SIZE_BODIES = 16
 BUSY_RETRY_AFTER_S = 1.0
 
 LOGGER = logging.getLogger(__name__)
@@ -34,9 +35,13 @@
 
 @attrs.define(eq=False)
 class CallersApp:
-    """Turns HTTP requests into typed ones and answers back into HTTP.
+    """Parses callers' HTTP requests, dispatches them and sends the responses.
 
-    :ivar max_in_flight: most requests that callers may have open
+    :ivar max_in_flight: limit of requests in flight; beyond it, all but those for the built-in
+        paths are refused
+    :ivar body_memory: memory budget of all request bodies that are open
+    :ivar is_stopping: set once a planned stop has begun
+    :ivar in_flight: number of requests that are being read or answered, built-in paths included
     """
 
     configuration: holder.ConfigurationHolder
@@ -47,146 +52,149 @@
     metrics: metrics.Metrics
     limits: reading.RequestLimits
     max_in_flight: int
-    order_keys: order_keys.OrderKeys = attrs.field(init=False)
-    bodies: bodies.OpenBodies = attrs.field(init=False)
+    order_keys: order_keys.OrderKeyIssuer = attrs.field(init=False)
+    body_memory: bodies.BodyMemoryBudget = attrs.field(init=False)
     reader: reading.RequestReader = attrs.field(init=False)
-    stopping: bool = attrs.field(default=False, init=False)
+    is_stopping: bool = attrs.field(default=False, init=False)
     in_flight: int = attrs.field(default=0, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Build the parts."""
-        self.order_keys = order_keys.OrderKeys(self.orders.issued)
-        self.bodies = bodies.OpenBodies(LARGEST_BODIES_OPEN * self.limits.body_bytes)
+        """Create the components that depend on other fields."""
+        self.order_keys = order_keys.OrderKeyIssuer(self.orders.issued)
+        self.body_memory = bodies.BodyMemoryBudget(MAX_FULL_SIZE_BODIES * self.limits.body_bytes)
         self.reader = reading.RequestReader(
-            self.configuration, self.permit, self.limits, self.bodies
+            self.configuration, self.permit, self.limits, self.body_memory
         )
 
     async def __call__(self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send) -> None:
-        """Serve one connection event of the ASGI server."""
+        """Serve one ASGI scope: a lifespan or an HTTP request."""
         if scope["type"] == "lifespan":
             await asgi.acknowledge_lifespan(receive, send)
         elif scope["type"] == "http":
-            timed = measuring.TimedSend(
-                send, self.metrics.new_timer(scope["method"], _route(scope))
+            timed_send = measuring.TimedSend(
+                send, self.metrics.new_timer(scope["method"], _route_label(scope))
             )
             self.in_flight += 1
             try:
-                answering = _closing(timed) if self.stopping else timed
-                await self._serve(scope, receive, answering)
+                response_send = (
+                    _with_connection_close(timed_send) if self.is_stopping else timed_send
+                )
+                await self._serve(scope, receive, response_send)
             except Exception as error:
-                # The server's own answer would be a bare 500 that says nothing about the outcome.
-                LOGGER.exception("a request failed inside the entry")
-                if not timed.has_started:
-                    await _answer_internal_error(answering, error)
+                # Without this, the ASGI server would send a 500 without a problem body, which does
+                # not say whether the request ran.
+                LOGGER.exception("unhandled exception while serving a request")
+                if not timed_send.has_started:
+                    await _send_internal_error(response_send, error)
             finally:
                 self.in_flight -= 1
-                timed.finish()
+                timed_send.finish()
 
     def begin_stop(self) -> None:
-        """Go on serving, but have callers leave: a planned stop has begun."""
-        self.stopping = self.order_keys.closed = True
+        """Start a planned stop: close connections after their response and issue no order keys."""
+        self.is_stopping = self.order_keys.is_closed = True
 
     async def _serve(self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send) -> None:
         request_id = uuid.uuid4().hex
         try:
-            own = self._own_path(scope)
-            if own is not None:
-                await own(scope, receive, send)
+            handler = self._find_builtin_handler(scope)
+            if handler is not None:
+                await handler(scope, receive, send)
                 return
             if self.in_flight > self.max_in_flight:
                 detail = f"{self.max_in_flight} requests are open"
-                raise reading.refused(requests.Problem.OVERLOADED, detail, BUSY_RETRY_AFTER_S)
-            with self.bodies.hold() as held:
-                request = await self.reader.read(scope, receive, request_id, held)
-                await self._answer(request, receive, send)
+                raise reading.new_refusal(requests.Problem.OVERLOADED, detail, BUSY_RETRY_AFTER_S)
+            with self.body_memory.open_reservation() as reservation:
+                request = await self.reader.read(scope, receive, request_id, reservation)
+                await self._serve_while_connected(request, receive, send)
         except asgi.ClientGoneError:
             return
         except requests.RequestError as error:
             _log_error(request_id, error)
-            lines = [*problems.headers(error), (b"x-request-id", request_id.encode())]
-            await asgi.respond(send, error.problem.status, lines, problems.body(error, request_id))
+            headers = [*problems.headers(error), (b"x-request-id", request_id.encode())]
+            await asgi.respond(
+                send, error.problem.status, headers, problems.body(error, request_id)
+            )
 
-    def _own_path(self, scope: asgi.Scope) -> Handler | None:
-        """Return what answers a path of the system's own, or None.
+    def _find_builtin_handler(self, scope: asgi.Scope) -> Handler | None:
+        """Return the handler of a built-in path, or None for any other path.
 
-        :raises requests.RequestError: when the method is wrong
+        :raises requests.RequestError: when the path does not support the method
         """
         path, method = scope["path"], scope["method"]
-        own: dict[str, tuple[tuple[str, ...], Handler]] = {
-            ADDRESSES_PATH: (READ_METHODS, self._answer_addresses),
-            MODELS_PATH: (READ_METHODS, self._answer_models),
-            ORDER_KEYS_PATH: (("POST",), self._answer_order_keys),
+        handlers: dict[str, tuple[tuple[str, ...], Handler]] = {
+            ADDRESSES_PATH: (READ_METHODS, self._send_addresses),
+            MODELS_PATH: (READ_METHODS, self._send_models),
+            ORDER_KEYS_PATH: (("POST",), self._send_order_keys),
         }
-        if path not in own:
+        if path not in handlers:
             return None
-        methods, handler = own[path]
+        methods, handler = handlers[path]
         if method not in methods:
             detail = f"the method must be {' or '.join(methods)}"
-            raise reading.refused(requests.Problem.METHOD_NOT_ALLOWED, detail)
+            raise reading.new_refusal(requests.Problem.METHOD_NOT_ALLOWED, detail)
         return handler
 
-    async def _answer(
+    async def _serve_while_connected(
         self, request: requests.CallerRequest, receive: asgi.Receive, send: asgi.Send
     ) -> None:
         refusal: requests.RequestError | None = None
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
-                # A caller who leaves must free the backend server's slot at once.
-                nursery.start_soon(_cancel_when_gone, receive, scope)
+                # When the caller disconnects, the backend server's slot must be freed at once.
+                nursery.start_soon(_cancel_on_disconnect, receive, scope)
                 try:
-                    await self._relay(request, send)
+                    await self._dispatch(request, send)
                 except requests.RequestError as error:
                     refusal = error
                 finally:
                     nursery.cancel_scope.cancel()
-        # Raised inside, the nursery would wrap it in a group that nobody catches, and the caller
-        # would see a bare 500 that does not tell whether the request ran.
+        # Raised inside the nursery, the error would be wrapped in an exception group that no
+        # handler catches, and the caller would get a 500 without the outcome.
         if refusal is not None:
             raise refusal
 
-    async def _relay(self, request: requests.CallerRequest, send: asgi.Send) -> None:
-        # Repeating an idempotent call does no harm, so its key needs no claim.
-        server = self.dispatcher if request.may_repeat else self.orders
-        async with server.serve(request) as answer:
-            lines = [*answer.headers, (b"x-request-id", request.request_id.encode())]
+    async def _dispatch(self, request: requests.CallerRequest, send: asgi.Send) -> None:
+        # An idempotent request may be repeated safely, so its idempotency key needs no claim.
+        dispatcher = self.dispatcher if request.may_repeat else self.orders
+        async with dispatcher.serve(request) as answer:
+            headers = [*answer.headers, (b"x-request-id", request.request_id.encode())]
             if not request.stream:
-                # With its length told, an answer that breaks off is seen as torn by every client,
-                # also by one of HTTP/1.0, for which the end of the connection is a clean end.
+                # With a Content-Length, every client detects a truncated response, including
+                # HTTP/1.0 clients, which otherwise take the end of the connection for a clean end.
                 body = b"".join([chunk async for chunk in answer.chunks])
-                await asgi.respond(send, answer.status, lines, body)
+                await asgi.respond(send, answer.status, headers, body)
             else:
-                await _relay_stream(request, answer, lines, send)
+                await _send_stream(request, answer, headers, send)
 
-    async def _answer_addresses(
+    async def _send_addresses(
         self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send
     ) -> None:
-        await asgi.respond_json(send, 200, self._addresses(scope))
+        await asgi.respond_json(send, 200, self._addresses_body(scope))
 
-    async def _answer_models(
-        self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send
-    ) -> None:
-        await asgi.respond_json(send, 200, self._models())
+    async def _send_models(self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send) -> None:
+        await asgi.respond_json(send, 200, self._models_body())
 
-    async def _answer_order_keys(
+    async def _send_order_keys(
         self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send
     ) -> None:
-        answer = await self.order_keys.answer(receive, reading.workspace_of(scope))
-        await asgi.respond_json(send, 201, answer)
+        issued = await self.order_keys.handle(receive, reading.workspace_of(scope))
+        await asgi.respond_json(send, 201, issued)
 
-    def _addresses(self, scope: asgi.Scope) -> dict:
+    def _addresses_body(self, scope: asgi.Scope) -> dict:
         query = dict(urllib.parse.parse_qsl(scope["query_string"].decode("latin-1")))
         host, port = scope.get("client") or ("", 0)
         caller = query.get("caller") or f"{host}:{port}"
-        answer = self.directory.answer(caller, query.get("availability_zone", ""))
-        if not answer["addresses"]:
-            # An empty answer would leave its caller with nobody to ask for as long as it is kept.
+        found = self.directory.lookup(caller, query.get("availability_zone", ""))
+        if not found["addresses"]:
+            # A caller that cached an empty list would have no entry to use until it expired.
             detail = "no entry is known that takes requests; ask another"
-            raise reading.refused(
+            raise reading.new_refusal(
                 requests.Problem.NOT_READY, detail, reading.NOT_READY_RETRY_AFTER_S
             )
-        return answer
+        return found
 
-    def _models(self) -> dict:
+    def _models_body(self) -> dict:
         services = self.configuration.current.rules.services
         models = [
             {"id": service.name, "object": "model", "owned_by": "toucanhold"}
@@ -196,16 +204,16 @@
         return {"object": "list", "data": models}
 
 
-def _route(scope: asgi.Scope) -> str:
-    # Paths are the callers' choice; as attributes of a metric they would grow without bound.
+def _route_label(scope: asgi.Scope) -> str:
+    # Callers choose the paths, so raw paths as metric attributes would grow without bound.
     path = scope["path"]
-    known = (*reading.CHAT_PATHS, ADDRESSES_PATH, MODELS_PATH, ORDER_KEYS_PATH)
-    if path in known:
+    fixed_paths = (*reading.COMPLETION_PATHS, ADDRESSES_PATH, MODELS_PATH, ORDER_KEYS_PATH)
+    if path in fixed_paths:
         return path
     return reading.SERVICES_PREFIX if path.startswith(reading.SERVICES_PREFIX) else ""
 
 
-async def _answer_internal_error(send: asgi.Send, error: Exception) -> None:
+async def _send_internal_error(send: asgi.Send, error: Exception) -> None:
     failure = requests.RequestError(
         requests.Problem.INTERNAL_ERROR, requests.Outcome.UNKNOWN, type(error).__name__
     )
@@ -214,57 +222,57 @@
     await asgi.respond(send, failure.problem.status, problems.headers(failure), body)
 
 
-def _closing(send: asgi.Send) -> asgi.Send:
-    # A kept connection would hold its caller to an entry that is about to close its listener.
-    async def send_closing(message: dict) -> None:
+def _with_connection_close(send: asgi.Send) -> asgi.Send:
+    # A persistent connection would keep its caller at an entry that is about to stop listening.
+    async def send_with_close(message: dict) -> None:
         if message["type"] == "http.response.start":
             message = message | {"headers": [*message["headers"], (b"connection", b"close")]}
         await send(message)
 
-    return send_closing
+    return send_with_close
 
 
-async def _relay_stream(
+async def _send_stream(
     request: requests.CallerRequest,
     answer: dispatch.Answer,
-    lines: list[tuple[bytes, bytes]],
+    headers: list[tuple[bytes, bytes]],
     send: asgi.Send,
 ) -> None:
-    started = False
+    has_started = False
     try:
         async for chunk in answer.chunks:
-            if not started:
-                await asgi.start(send, answer.status, lines)
-                started = True
+            if not has_started:
+                await asgi.start(send, answer.status, headers)
+                has_started = True
             await asgi.write(send, chunk, True)
     except requests.RequestError as error:
-        if not started:
+        if not has_started:
             raise
         _log_error(request.request_id, error)
         await _break_off(send, error, request.request_id)
         return
-    if not started:
-        await asgi.start(send, answer.status, lines)
+    if not has_started:
+        await asgi.start(send, answer.status, headers)
     await asgi.write(send, b"", False)
 
 
 async def _break_off(send: asgi.Send, error: requests.RequestError, request_id: str) -> None:
-    # A clean end would make a torn answer look whole. The error event tells a reader of the
-    # stream why; the missing last chunk tells the HTTP client, whatever it does with events:
-    # the server closes the connection of an application that returns without one.
+    # A clean end would make a truncated response look complete. The error event gives the reader
+    # of the stream the reason. The missing last chunk shows any HTTP client that the response is
+    # incomplete: the ASGI server closes the connection when the application returns without it.
     data = problems.body(error, request_id)
     await asgi.write(send, b"event: error\ndata: " + data + b"\n\n", True)
 
 
-async def _cancel_when_gone(receive: asgi.Receive, scope: trio.CancelScope) -> None:
+async def _cancel_on_disconnect(receive: asgi.Receive, scope: trio.CancelScope) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
     scope.cancel()
 
 
 def _log_error(request_id: str, error: requests.RequestError) -> None:
-    ran_nothing = error.outcome is requests.Outcome.DID_NOT_RUN
-    event = events.Event.REQUEST_REFUSED if ran_nothing else events.Event.REQUEST_FAILED
+    did_not_run = error.outcome is requests.Outcome.DID_NOT_RUN
+    event = events.Event.REQUEST_REFUSED if did_not_run else events.Event.REQUEST_FAILED
     events.log(
         LOGGER,
         event,
--- a/toucanhold/callers/bodies.py
+++ b/toucanhold/callers/bodies.py
@@ -1,54 +1,60 @@
-"""Memory for request bodies that are open."""
+"""Limits the memory that request bodies take together."""
 
 import contextlib
 
 import attrs
 
 
-class BodiesFullError(Exception):
-    """No further byte of a request body can be taken now."""
+class BodyMemoryExhaustedError(Exception):
+    """The memory budget for request bodies is exhausted."""
 
 
 @attrs.define(eq=False)
-class OpenBodies:
-    """Bounds the bytes of all open request bodies together.
+class BodyMemoryBudget:
+    """Bounds the total size of all open request bodies.
 
-    Each body has a limit, but thousands of requests at that limit would take all memory.
+    The limit of each single body is not enough: thousands of requests at that limit would exhaust
+    the memory.
+
+    :ivar limit_bytes: largest total size of all open bodies
     """
 
     limit_bytes: int
-    _held_bytes: int = attrs.field(default=0, init=False)
+    _reserved_bytes: int = attrs.field(default=0, init=False)
 
     @contextlib.contextmanager
-    def hold(self):
-        """Hold the bytes of one body while the context is open."""
-        held = HeldBody(self)
+    def open_reservation(self):
+        """Yield a :class:`BodyReservation` of 0 bytes, released when the context ends."""
+        reservation = BodyReservation(self)
         try:
-            yield held
+            yield reservation
         finally:
-            self._held_bytes -= held.size_bytes
+            self._reserved_bytes -= reservation.size_bytes
 
-    def take(self, size_bytes: int) -> None:
-        """Count further bytes.
+    def reserve(self, size_bytes: int) -> None:
+        """Reserve further bytes.
 
-        :raises BodiesFullError: when they do not fit
+        :raises BodyMemoryExhaustedError: when the total would exceed the limit
         """
-        if self._held_bytes + size_bytes > self.limit_bytes:
-            raise BodiesFullError
-        self._held_bytes += size_bytes
+        if self._reserved_bytes + size_bytes > self.limit_bytes:
+            raise BodyMemoryExhaustedError
+        self._reserved_bytes += size_bytes
 
 
 @attrs.define(eq=False)
-class HeldBody:
-    """One body's part."""
+class BodyReservation:
+    """The share of one body in the memory budget.
+
+    :ivar size_bytes: bytes reserved so far
+    """
 
-    _bodies: OpenBodies
+    _budget: BodyMemoryBudget
     size_bytes: int = 0
 
     def grow(self, size_bytes: int) -> None:
-        """Add bytes that have arrived.
+        """Reserve memory for bytes that have arrived.
 
-        :raises BodiesFullError: when they do not fit
+        :raises BodyMemoryExhaustedError: when the total would exceed the limit
         """
-        self._bodies.take(size_bytes)
+        self._budget.reserve(size_bytes)
         self.size_bytes += size_bytes
--- a/toucanhold/callers/order_keys.py
+++ b/toucanhold/callers/order_keys.py
@@ -1,4 +1,4 @@
-"""Issues order keys to callers."""
+"""Handles callers' requests for order keys."""
 
 import json
 
@@ -15,26 +15,26 @@
 
 
 @attrs.define(eq=False)
-class OrderKeys:
-    """Answers ``POST /toucanhold/v1/order-keys``.
+class OrderKeyIssuer:
+    """Handles ``POST /toucanhold/v1/order-keys``.
 
-    :ivar closed: set when this entry stops: keys of a process that ends are of no use
+    :ivar is_closed: set when this entry stops; its order keys become useless when it ends
     """
 
     orders: issued.IssuedOrders
-    closed: bool = False
+    is_closed: bool = False
 
-    async def answer(self, receive: asgi.Receive, workspace: str) -> dict:
-        """Return the JSON answer.
+    async def handle(self, receive: asgi.Receive, workspace: str) -> dict:
+        """Issue order keys to a workspace and return the JSON response.
 
-        :raises requests.RequestError: when none can be issued
+        :raises requests.RequestError: when the body is malformed or this entry is stopping
         """
         count = await self._read_count(receive)
-        if self.closed:
+        if self.is_closed:
             raise requests.RequestError(
                 requests.Problem.NOT_READY,
                 requests.Outcome.DID_NOT_RUN,
-                "this entry is about to stop; ask another one",
+                "this entry is stopping; ask another entry",
                 STOPPING_RETRY_AFTER_S,
             )
         own = self.orders.roster.own
@@ -57,11 +57,11 @@
             AttributeError,
             RecursionError,
         ) as error:
-            raise _malformed("the body must be a JSON object") from error
+            raise _malformed_body("the body must be a JSON object") from error
         if type(count) is not int or not 1 <= count <= issued.MAX_KEYS_AT_ONCE:
-            raise _malformed(f"count must be 1 to {issued.MAX_KEYS_AT_ONCE}")
+            raise _malformed_body(f"count must be an integer from 1 to {issued.MAX_KEYS_AT_ONCE}")
         return count
 
 
-def _malformed(detail: str) -> requests.RequestError:
+def _malformed_body(detail: str) -> requests.RequestError:
     return requests.RequestError(requests.Problem.MALFORMED, requests.Outcome.DID_NOT_RUN, detail)
--- a/toucanhold/callers/problems.py
+++ b/toucanhold/callers/problems.py
@@ -1,4 +1,4 @@
-"""Errors as problem details (RFC 9457)."""
+"""Encodes errors as problem details (RFC 9457)."""
 
 import json
 import math
@@ -10,7 +10,7 @@
 
 
 def body(error: requests.RequestError, request_id: str) -> bytes:
-    """Return the JSON of an error."""
+    """Return the problem details of an error as JSON."""
     details = {
         "type": TYPE_PREFIX + error.problem.slug,
         "title": error.problem.title,
@@ -27,9 +27,9 @@
 
 
 def headers(error: requests.RequestError) -> list[tuple[bytes, bytes]]:
-    """Return the headers of an error."""
-    lines = [(b"content-type", CONTENT_TYPE)]
+    """Return the response headers of an error."""
+    fields = [(b"content-type", CONTENT_TYPE)]
     if error.retry_after_s is not None:
-        # Rounded up: a caller who comes back early is refused once more.
-        lines.append((b"retry-after", str(max(1, math.ceil(error.retry_after_s))).encode()))
-    return lines
+        # Rounded up, because a caller that retries too early is refused again.
+        fields.append((b"retry-after", str(max(1, math.ceil(error.retry_after_s))).encode()))
+    return fields
