--- a/toucanhold/operators/__init__.py
+++ b/toucanhold/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' interface: authenticated HTTP, and the client that the command line uses."""
+"""The operators' authenticated HTTP interface and the client that the command line uses."""
--- a/toucanhold/operators/app.py
+++ b/toucanhold/operators/app.py
@@ -1,4 +1,4 @@
-"""The operators' ASGI application."""
+"""The ASGI application of the operators' interface."""
 
 from __future__ import annotations
 
@@ -36,9 +36,11 @@
 
 @attrs.define(eq=False)
 class OperatorsApp:
-    """Checks the token, then queries or changes.
+    """Authenticates operators, answers their queries and carries out their changes.
 
-    :ivar tokens: what operators must present one of; compared in constant time
+    The health check needs no token.
+
+    :ivar tokens: accepted bearer tokens; compared in constant time
     """
 
     changes: changes.ChangeCoordinator
@@ -49,7 +51,7 @@
     tokens: keyring.KeyRing
 
     async def __call__(self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send) -> None:
-        """Serve one connection event of the ASGI server."""
+        """Serve one ASGI scope: a lifespan or an HTTP request."""
         if scope["type"] == "lifespan":
             await asgi.acknowledge_lifespan(receive, send)
         elif scope["type"] == "http":
@@ -62,19 +64,19 @@
         try:
             self._authenticate(scope)
             if scope["path"] == METRICS_PATH:
-                lines = [(b"content-type", metrics.CONTENT_TYPE)]
-                await asgi.respond(send, 200, lines, self.metrics.exposition())
+                headers = [(b"content-type", metrics.CONTENT_TYPE)]
+                await asgi.respond(send, 200, headers, self.metrics.exposition())
                 return
-            answer = await self._route(scope, receive)
-            body, code = codec.to_json(answer), _status_of(answer)
+            answer = await self._handle_operation(scope, receive)
+            body, code = codec.to_json(answer), _http_status(answer)
         except _OperatorError as error:
             body, code = codec.to_json(error.answer), error.status_code
             _log_refusal(scope, error)
         except asgi.ClientGoneError:
             return
         except Exception as error:
-            # The server would answer with a bare 500, and the operator could not tell whether the
-            # change was made. It is not known here either, and the answer says so.
+            # Without this, the ASGI server would send a 500 without a body. Whether the change was
+            # made is not known here, and the response must say so.
             LOGGER.exception("%s %s failed", scope["method"], scope["path"])
             detail = f"{error!r}; whether anything was changed is not known, see status"
             body, code = codec.to_json(messages.ErrorAnswer("internal", detail)), 500
@@ -82,10 +84,10 @@
 
     def _authenticate(self, scope: asgi.Scope) -> None:
         presented = asgi.header(scope, "authorization").removeprefix("Bearer ")
-        if self.tokens.find(presented.encode(), _itself) is None:
-            raise _error(401, "unauthorized", "a valid operator token is needed")
+        if self.tokens.find(presented.encode(), _identity) is None:
+            raise _error(401, "unauthorized", "a valid bearer token of an operator is required")
 
-    async def _route(self, scope: asgi.Scope, receive: asgi.Receive) -> object:
+    async def _handle_operation(self, scope: asgi.Scope, receive: asgi.Receive) -> object:
         path, method = scope["path"], scope["method"]
         if (method, path) == ("GET", STATUS_PATH):
             return self.status.compose()
@@ -94,75 +96,80 @@
         if (method, path) == ("GET", PREVIEW_PATH):
             return self._preview_zones(scope)
         if (method, path) == ("POST", PREVIEW_PATH):
-            return self._preview_document(await _read(receive, document.Document))
+            return self._preview_document(await _decode_body(receive, document.Document))
         if (method, path) == ("PUT", DOCUMENT_PATH):
-            return await self._apply(await _read(receive, messages.ApplyRequest))
+            return await self._apply(await _decode_body(receive, messages.ApplyRequest))
         if method == "PUT" and path.startswith(ZONES_PREFIX):
             zone = path.removeprefix(ZONES_PREFIX)
-            return await self._set_zone(zone, await _read(receive, messages.ZoneRequest))
-        raise _error(404, "unknown", f"nothing at {method} {path}")
+            return await self._set_zone(zone, await _decode_body(receive, messages.ZoneRequest))
+        raise _error(404, "unknown", f"no such operation: {method} {path}")
 
     def _preview_zones(self, scope: asgi.Scope) -> preview.Preview:
         query = urllib.parse.parse_qs(scope["query_string"].decode("latin-1"))
         zones = query.get("without", [])
-        known = {each.name for each in self.configuration.current.rules.availability_zones}
+        known_zones = {zone.name for zone in self.configuration.current.rules.availability_zones}
         if not zones:
-            raise _error(422, "invalid", "name availability zones: ?without=NAME")
-        if unknown := sorted(set(zones) - known):
+            raise _error(
+                422, "invalid", "at least one availability zone is required: ?without=NAME"
+            )
+        if unknown := sorted(set(zones) - known_zones):
             raise _error(404, "unknown-availability-zone", f"no availability zone {unknown[0]!r}")
         return self.previewer.preview_without_zones(zones)
 
-    def _preview_document(self, wanted: document.Document) -> preview.Preview:
-        _check(wanted)
-        return self.previewer.preview_document(wanted)
+    def _preview_document(self, new_document: document.Document) -> preview.Preview:
+        _validate(new_document)
+        return self.previewer.preview_document(new_document)
 
     async def _apply(self, request: messages.ApplyRequest) -> messages.ChangeAnswer:
-        _check(request.document)
+        _validate(request.document)
         change = self.changes.apply(request.document, request.expected, request.author)
         try:
-            return await _translated(change)
+            return await _translate_store_errors(change)
         except _OperatorError as error:
             if error.answer.kind == CONFLICT:
-                error.answer = await self._with_differences(error.answer, request.expected)
+                error.answer = await self._add_differences(error.answer, request.expected)
             raise
 
-    async def _with_differences(
+    async def _add_differences(
         self, answer: messages.ErrorAnswer, expected: int
     ) -> messages.ErrorAnswer:
-        differences = await self.changes.differences(expected)
+        differences = await self.changes.differences_since(expected)
         return attrs.evolve(answer, differences=differences[:DIFFERENCES_LIMIT])
 
     async def _set_zone(self, zone: str, request: messages.ZoneRequest) -> messages.ChangeAnswer:
-        known = {each.name: each for each in self.configuration.current.rules.availability_zones}
-        if zone not in known:
+        known_zones = {
+            zone_rules.name: zone_rules
+            for zone_rules in self.configuration.current.rules.availability_zones
+        }
+        if zone not in known_zones:
             raise _error(404, "unknown-availability-zone", f"no availability zone {zone!r}")
         if not request.out:
-            return await _translated(self.changes.return_zone(zone, request.author))
-        if not known[zone].drainable and not request.force:
+            return await _translate_store_errors(self.changes.return_zone(zone, request.author))
+        if not known_zones[zone].drainable and not request.force:
             detail = f"the rules say that {zone!r} may not be drained; force overrides them"
             raise _error(409, "not-drainable", detail)
-        return await _translated(self.changes.take_out(zone, request.author))
+        return await _translate_store_errors(self.changes.take_zone_out(zone, request.author))
 
 
-def _check(wanted: document.Document) -> None:
+def _validate(new_document: document.Document) -> None:
     try:
-        document.check(wanted)
+        document.check(new_document)
     except document.InvalidDocumentError as error:
         mistakes = tuple(str(mistake) for mistake in error.exceptions)
         answer = messages.ErrorAnswer("invalid", error.message, mistakes)
         raise _OperatorError(422, answer) from error
 
 
-def _itself(token: bytes) -> bytes:
+def _identity(token: bytes) -> bytes:
     return token
 
 
-def _status_of(answer: object) -> int:
-    held = isinstance(answer, messages.ChangeAnswer) and not answer.durable
-    return ACCEPTED if held else OK
+def _http_status(answer: object) -> int:
+    is_pending = isinstance(answer, messages.ChangeAnswer) and not answer.durable
+    return ACCEPTED if is_pending else OK
 
 
-async def _translated(change) -> messages.ChangeAnswer:
+async def _translate_store_errors(change) -> messages.ChangeAnswer:
     try:
         return await change
     except store.ConflictError as error:
@@ -175,14 +182,14 @@
         raise _error(504, "unknown-outcome", str(error)) from error
 
 
-async def _read(receive: asgi.Receive, kind: type):
+async def _decode_body(receive: asgi.Receive, body_type: type):
     try:
-        return codec.from_json_strict(await asgi.read_body(receive, BODY_LIMIT_BYTES), kind)
+        return codec.from_json_strict(await asgi.read_body(receive, BODY_LIMIT_BYTES), body_type)
     except asgi.BodyTooLargeError as error:
         raise _error(413, "too-large", f"the body exceeds {BODY_LIMIT_BYTES} bytes") from error
     except codec.CodecError as error:
         mistakes = tuple(str(error).split("; "))
-        answer = messages.ErrorAnswer("invalid", "wrong shape", mistakes)
+        answer = messages.ErrorAnswer("invalid", "the body does not match the schema", mistakes)
         raise _OperatorError(422, answer) from error
 
 
--- a/toucanhold/operators/changes.py
+++ b/toucanhold/operators/changes.py
@@ -1,4 +1,4 @@
-"""Operators' changes: accepted, put in force, and told truthfully."""
+"""Carries out operators' changes and reports where they are in force."""
 
 import collections.abc
 import logging
@@ -12,7 +12,8 @@
 from toucanhold.operators import messages
 from toucanhold.peers import holds as peer_holds
 
-# The operator waits at most this long; what is not known by then is said to be not known.
+# An operator's request waits at most this long; a change that is not confirmed by then is reported
+# as not confirmed.
 DURABLE_WAIT_S = 2.0
 IN_FORCE_WAIT_S = 1.0
 CHECK_INTERVAL_S = 0.02
@@ -24,94 +25,108 @@
 
 @attrs.define(eq=False)
 class ChangeCoordinator:
-    """Carries out checked changes.
+    """Carries out validated changes and waits, for a bounded time, until they are in force.
 
-    :ivar spreader: puts holds in force at once and makes them durable later
-    :ivar refresh: reads the accepted configuration
+    :ivar hold_spreader: puts holds in force on all reachable entries at once and makes them durable
+        later
+    :ivar refresh: reads the accepted configuration from the key-value service
     """
 
     store: store.ConfigurationStore
     configuration: holder.ConfigurationHolder
-    spreader: peer_holds.HoldSpreader
+    hold_spreader: peer_holds.HoldSpreader
     roster: roster.Roster
     facts: facts.FactTable
     refresh: Refresh
 
     async def apply(
-        self, wanted: document.Document, expected: int, author: str
+        self, new_document: document.Document, expected: int, author: str
     ) -> messages.ChangeAnswer:
         """Replace inventory and rules.
 
-        :raises store.StoreError: when it was not accepted, or is not known to be
+        :param expected: number of the configuration that the operator saw
+        :raises store.StoreError: when the document was not accepted, or the outcome is unknown
         """
-        number = await self.store.apply(wanted, expected, author)
-        return await self._accepted(number)
+        configuration_number = await self.store.apply(new_document, expected, author)
+        return await self._answer_accepted(configuration_number)
 
-    async def differences(self, expected: int) -> tuple[difference.Difference, ...]:
-        """Return what has changed since the configuration that an operator saw."""
+    async def differences_since(self, expected: int) -> tuple[difference.Difference, ...]:
+        """Return the differences between the configuration that an operator saw and the latest one.
+
+        :param expected: number of the configuration that the operator saw
+        """
         with trio.move_on_after(IN_FORCE_WAIT_S):
             try:
                 await self.refresh()
             except keyvalue.KeyValueError as error:
-                LOGGER.debug("differences of what this entry knows: %s", error)
-        current, seen = self.configuration.accepted, self.configuration.former(expected)
-        if seen is None:
+                LOGGER.debug("comparing with a possibly outdated configuration: %s", error)
+        current, base = self.configuration.accepted, self.configuration.former(expected)
+        if base is None:
             return difference.since(expected, current)
-        return difference.between(seen, current)
+        return difference.between(base, current)
 
-    async def take_out(self, zone: str, author: str) -> messages.ChangeAnswer:
-        """Take an availability zone out, at once wherever peers can be reached."""
-        # A hold first: were the key-value service asked first, a slow one would keep the zone's
-        # new work going for as long as its call takes, and an outage for as long as that lasts.
+    async def take_zone_out(self, zone: str, author: str) -> messages.ChangeAnswer:
+        """Take an availability zone out of service, at once on all entries that can be reached."""
+        # The hold comes first: if the key-value service were called first, the zone would get new
+        # work for as long as a slow call takes, or as long as an outage of that service lasts.
         hold = holds.new_hold(zone, author, self.roster.own.entry)
-        self.spreader.place(hold)
+        self.hold_spreader.place(hold)
         with trio.move_on_after(DURABLE_WAIT_S):
             while hold.hold not in self.configuration.accepted.resolved_holds:
                 await self.configuration.wait_changed()
-            return await self._accepted(self.configuration.accepted.number, hold.hold)
+            return await self._answer_accepted(self.configuration.accepted.number, hold.hold)
         return await self._answer(-1, hold.hold)
 
     async def return_zone(self, zone: str, author: str) -> messages.ChangeAnswer:
-        """Return an availability zone.
+        """Return an availability zone to service.
 
-        :raises store.StoreError: when it was not accepted, or is not known to be
+        :raises store.StoreError: when the change was not accepted, or the outcome is unknown
         """
-        known = [hold for hold in self.configuration.holds() if hold.availability_zone == zone]
-        return await self._accepted(await self.store.return_zone(zone, known, author))
+        zone_holds = [hold for hold in self.configuration.holds() if hold.availability_zone == zone]
+        return await self._answer_accepted(await self.store.return_zone(zone, zone_holds, author))
 
-    async def _accepted(self, number: int, hold: str = "") -> messages.ChangeAnswer:
+    async def _answer_accepted(
+        self, configuration_number: int, hold: str = ""
+    ) -> messages.ChangeAnswer:
         with trio.move_on_after(IN_FORCE_WAIT_S):
-            await self._read_until(number)
-        return await self._answer(number, hold)
+            await self._refresh_until(configuration_number)
+        return await self._answer(configuration_number, hold)
 
-    async def _read_until(self, number: int) -> None:
-        # This entry knows of the change, so its peers need not wait for their watches.
-        while self.configuration.current.number < number:
+    async def _refresh_until(self, configuration_number: int) -> None:
+        # This entry already knows of the change. It refreshes at once, so that its peers need not
+        # wait for their watches.
+        while self.configuration.current.number < configuration_number:
             try:
                 await self.refresh()
             except keyvalue.KeyValueError as error:
-                LOGGER.debug("reading what was accepted: %s", error)
-            # Also after an answer: what this version cannot read must not be asked for without end.
+                LOGGER.debug("cannot read the accepted configuration: %s", error)
+            # Sleep after successful reads too: a configuration that this version cannot decode must
+            # not be requested in a busy loop.
             await trio.sleep(CHECK_INTERVAL_S)
 
-    async def _answer(self, number: int, hold: str) -> messages.ChangeAnswer:
+    async def _answer(self, configuration_number: int, hold: str) -> messages.ChangeAnswer:
         with trio.move_on_after(IN_FORCE_WAIT_S):
-            while self._not_in_force(number, hold):
+            while self._not_in_force(configuration_number, hold):
                 await trio.sleep(CHECK_INTERVAL_S)
-        missing = self._not_in_force(number, hold)
-        everyone = {member.entry for member in self.roster.members()}
+        pending = self._not_in_force(configuration_number, hold)
+        all_entries = {member.entry for member in self.roster.members()}
         return messages.ChangeAnswer(
-            number, number >= 0, tuple(sorted(everyone - missing)), tuple(sorted(missing))
+            configuration_number,
+            configuration_number >= 0,
+            tuple(sorted(all_entries - pending)),
+            tuple(sorted(pending)),
         )
 
-    def _not_in_force(self, number: int, hold: str) -> set[str]:
+    def _not_in_force(self, configuration_number: int, hold: str) -> set[str]:
         entries = [member.entry for member in self.roster.members()]
-        return {entry for entry in entries if not self._has_in_force(entry, number, hold)}
+        return {
+            entry for entry in entries if not self._has_in_force(entry, configuration_number, hold)
+        }
 
-    def _has_in_force(self, entry: str, number: int, hold: str) -> bool:
+    def _has_in_force(self, entry: str, configuration_number: int, hold: str) -> bool:
         if entry == self.roster.own.entry:
-            return number <= self.configuration.current.number
+            return configuration_number <= self.configuration.current.number
         fact = self.facts.get(entry)
         if fact is None:
             return False
-        return hold in fact.holds or 0 <= number <= fact.configuration
+        return hold in fact.holds or 0 <= configuration_number <= fact.configuration
--- a/toucanhold/operators/client.py
+++ b/toucanhold/operators/client.py
@@ -1,4 +1,4 @@
-"""The operators' side of the wire, used by the command line."""
+"""The HTTP client of the operators' interface, used by the command line."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class OperatorsClientError(Exception):
-    """The entry refused, or could not be reached.
+    """The entry refused the request, or could not be reached.
 
-    :ivar kind: as in :class:`messages.ErrorAnswer`; ``unreachable`` when there was no answer
-    :ivar mistakes: each mistake of a document
+    :ivar kind: as in :class:`messages.ErrorAnswer`; ``unreachable`` without a valid response
+    :ivar mistakes: the mistakes of a document, or the differences after a conflict
     """
 
     def __init__(self, kind: str, detail: str, mistakes: tuple[str, ...] = ()) -> None:
@@ -35,10 +35,12 @@
 
 @attrs.define(eq=False)
 class OperatorsClient:
-    """Calls one entry.
+    """Calls the operators' interface of one entry.
 
-    :ivar base_url: for example ``http://127.0.0.1:7001``
-    :ivar authority_file: PEM file of the certificate authority; empty for the system's own
+    All calls raise :class:`OperatorsClientError`.
+
+    :ivar base_url: URL without a trailing slash, for example ``http://127.0.0.1:7001``
+    :ivar authority_file: PEM file of the certificate authority; empty for the system's default
     """
 
     base_url: str
@@ -50,7 +52,7 @@
         return await self._call("GET", app.STATUS_PATH, None, messages.StatusAnswer)
 
     async def document(self) -> document.Document:
-        """Return inventory and rules in force."""
+        """Return the inventory and the rules in force."""
         return await self._call("GET", app.DOCUMENT_PATH, None, document.Document)
 
     async def apply(self, request: messages.ApplyRequest) -> messages.ChangeAnswer:
@@ -58,20 +60,20 @@
         return await self._call("PUT", app.DOCUMENT_PATH, request, messages.ChangeAnswer)
 
     async def set_zone(self, zone: str, request: messages.ZoneRequest) -> messages.ChangeAnswer:
-        """Take an availability zone out, or return it."""
+        """Take an availability zone out of service, or return it."""
         path = app.ZONES_PREFIX + urllib.parse.quote(zone, safe="")
         return await self._call("PUT", path, request, messages.ChangeAnswer)
 
     async def preview_zones(self, zones: collections.abc.Iterable[str]) -> preview.Preview:
-        """Return what taking availability zones out would bring."""
+        """Return the effect that taking availability zones out of service would have."""
         query = urllib.parse.urlencode([("without", zone) for zone in zones])
         return await self._call("GET", f"{app.PREVIEW_PATH}?{query}", None, preview.Preview)
 
-    async def preview_document(self, wanted: document.Document) -> preview.Preview:
-        """Return what applying a document would bring."""
-        return await self._call("POST", app.PREVIEW_PATH, wanted, preview.Preview)
+    async def preview_document(self, new_document: document.Document) -> preview.Preview:
+        """Return the effect that applying a document would have."""
+        return await self._call("POST", app.PREVIEW_PATH, new_document, preview.Preview)
 
-    async def _call(self, method: str, path: str, request: object, kind: type[T]) -> T:
+    async def _call(self, method: str, path: str, request: object, response_type: type[T]) -> T:
         body = codec.to_json(request) if request is not None else b""
         headers = {"authorization": f"Bearer {self.token}", "content-type": "application/json"}
         timeouts = dict.fromkeys(("connect", "write", "read", "pool"), CALL_TIMEOUT_S)
@@ -88,19 +90,19 @@
         except (httpcore.ConnectError, httpcore.ConnectTimeout) as error:
             raise OperatorsClientError("unreachable", f"{self.base_url}: {error!r}") from error
         except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError) as error:
-            # A change whose answer was lost may have been accepted: "unreachable" would lie.
+            # A change whose response was lost may have been accepted: "unreachable" would be wrong.
             kind = "unknown-outcome" if method == "PUT" else "unreachable"
             raise OperatorsClientError(kind, f"{self.base_url}: {error!r}") from error
-        return _decode(response, kind)
+        return _decode(response, response_type)
 
 
-def _decode(response: httpcore.Response, kind: type[T]) -> T:
+def _decode(response: httpcore.Response, response_type: type[T]) -> T:
     try:
         if response.status in (app.OK, app.ACCEPTED):
-            return codec.from_json(response.content, kind)
+            return codec.from_json(response.content, response_type)
         answer = codec.from_json(response.content, messages.ErrorAnswer)
     except codec.CodecError as error:
         detail = f"HTTP status {response.status}: {error}"
         raise OperatorsClientError("unreachable", detail) from error
-    lines = (*answer.mistakes, *(str(each) for each in answer.differences))
-    raise OperatorsClientError(answer.kind, answer.detail, lines)
+    details = (*answer.mistakes, *(str(difference) for difference in answer.differences))
+    raise OperatorsClientError(answer.kind, answer.detail, details)
--- a/toucanhold/operators/messages.py
+++ b/toucanhold/operators/messages.py
@@ -1,4 +1,4 @@
-"""What operators' requests and answers carry."""
+"""Messages of the operators' interface."""
 
 import attrs
 
@@ -7,9 +7,11 @@
 
 @attrs.frozen
 class ApplyRequest:
-    """Replace inventory and rules.
+    """Replaces the inventory and the rules.
 
-    :ivar expected: number of the configuration that the operator saw
+    :ivar expected: number of the configuration that the operator saw; the change conflicts if
+        another one is in force
+    :ivar author: recorded with the change
     """
 
     document: document.Document
@@ -19,9 +21,11 @@
 
 @attrs.frozen
 class ZoneRequest:
-    """Take an availability zone out, or return it.
+    """Takes an availability zone out of service, or returns it.
 
-    :ivar force: take it out although the rules say that it may not be drained
+    :ivar out: true to take it out, false to return it
+    :ivar author: recorded with the change
+    :ivar force: take it out even if the rules do not allow draining it
     """
 
     out: bool
@@ -31,13 +35,13 @@
 
 @attrs.frozen
 class ChangeAnswer:
-    """What became of a change.
+    """The state of a change when the response was sent.
 
-    :ivar configuration: number of an accepted configuration that has the change; -1 where it is
+    :ivar configuration: number of an accepted configuration that contains the change; -1 if it is
         not accepted yet
-    :ivar durable: whether the key-value service keeps the change; where it does not yet, it ends
-        if all entries that have it in force end first
-    :ivar in_force: entries that have acknowledged it
+    :ivar durable: whether the key-value service stores the change; until then it is lost if all
+        entries where it is in force end
+    :ivar in_force: entries that have acknowledged the change
     :ivar not_in_force: known entries that have not acknowledged it yet
     """
 
@@ -49,11 +53,12 @@
 
 @attrs.frozen
 class ErrorAnswer:
-    """Why nothing was done, or what is not known.
+    """Why a request was refused or failed, or that its outcome is unknown.
 
     :ivar kind: ``invalid``, ``conflict``, ``unavailable``, ``unknown``, ``unauthorized`` …
-    :ivar mistakes: each mistake of a document
-    :ivar differences: after a conflict, what is in force now and the operator did not see
+    :ivar detail: description for the operator
+    :ivar mistakes: the mistakes of a document or a request body
+    :ivar differences: after a conflict, changes in force that the operator had not seen
     """
 
     kind: str
@@ -64,7 +69,12 @@
 
 @attrs.frozen
 class ServiceStatus:
-    """A service: groups or servers wanted, planned and serving."""
+    """A service.
+
+    :ivar wanted: number of replicas, or of servers of a plain service, that the rules demand
+    :ivar planned: number of them in the plan
+    :ivar serving: number of them that can serve requests now
+    """
 
     service: str
     wanted: int
@@ -74,7 +84,10 @@
 
 @attrs.frozen
 class EntryStatus:
-    """An entry and the configuration in force there; -1 where it is not known."""
+    """An entry.
+
+    :ivar configuration: number of the configuration in force there; -1 if unknown
+    """
 
     entry: str
     availability_zone: str
@@ -85,7 +98,12 @@
 
 @attrs.frozen
 class ZoneStatus:
-    """An availability zone; requests in flight as this entry's reports show them."""
+    """An availability zone.
+
+    :ivar out: whether it is taken out of service
+    :ivar vms: number of its VMs in the inventory
+    :ivar running: requests that its VMs run, by the load reports of the entry that answers
+    """
 
     availability_zone: str
     out: bool
@@ -95,7 +113,11 @@
 
 @attrs.frozen
 class GroupStatus:
-    """A group of the plan."""
+    """A group of the plan.
+
+    :ivar members: names of its VMs
+    :ivar serving: whether it can serve requests now
+    """
 
     group: str
     service: str
@@ -105,7 +127,13 @@
 
 @attrs.frozen
 class StatusAnswer:
-    """The system as one entry sees it."""
+    """The state of the system as seen by one entry.
+
+    :ivar entry: the entry that answers
+    :ivar configuration: number of the configuration in force there
+    :ivar is_planner: whether this entry holds the planner lease
+    :ivar platform_answering: whether the key-value service answered this entry's last call
+    """
 
     entry: str
     configuration: int
--- a/toucanhold/operators/status.py
+++ b/toucanhold/operators/status.py
@@ -1,4 +1,4 @@
-"""Composes the status that operators see."""
+"""Composes the status report for operators."""
 
 import collections
 
@@ -17,7 +17,7 @@
 
 @attrs.define(eq=False)
 class StatusComposer:
-    """Reads every part of an entry; changes none."""
+    """Composes a status report from the state of an entry, without changing it."""
 
     roster: roster.Roster
     facts: facts.FactTable
@@ -29,60 +29,60 @@
     follower: following.Follower
 
     def compose(self) -> messages.StatusAnswer:
-        """Return the status now."""
-        serving = self._serving_groups()
+        """Return the current status."""
+        serving_groups = self._serving_groups()
         return messages.StatusAnswer(
             entry=self.roster.own.entry,
             configuration=self.configuration.current.number,
             plan_revision=self.plans.revision,
             is_planner=self.planner.leadership.is_held(),
             platform_answering=self.follower.answering,
-            entries=tuple(self._entry(member) for member in self.roster.members()),
-            services=tuple(self._services()),
-            zones=tuple(self._zones()),
+            entries=tuple(self._entry_status(member) for member in self.roster.members()),
+            services=tuple(self._service_statuses()),
+            zones=tuple(self._zone_statuses()),
             groups=tuple(
                 messages.GroupStatus(
-                    group.group, group.service, group.members, group.group in serving
+                    group.group, group.service, group.members, group.group in serving_groups
                 )
                 for group in sorted(self.plans.groups(), key=lambda group: group.group)
             ),
         )
 
-    def _entry(self, member: roster.Member) -> messages.EntryStatus:
+    def _entry_status(self, member: roster.Member) -> messages.EntryStatus:
         fact = self.facts.get(member.entry)
-        number = -1 if fact is None else fact.configuration
+        configuration_number = -1 if fact is None else fact.configuration
         if member.entry == self.roster.own.entry:
-            number = self.configuration.current.number
+            configuration_number = self.configuration.current.number
         return messages.EntryStatus(
             member.entry,
             member.availability_zone,
             member.callers_address,
             member.state.value,
-            number,
+            configuration_number,
         )
 
     def _serving_groups(self) -> set[str]:
         now_s = trio.current_time()
         return {
-            option.group.group
+            candidate.group.group
             for service in self.configuration.current.rules.services
-            for option in self.finder.find(service, now_s)
-            if option.group is not None
+            for candidate in self.finder.find(service, now_s)
+            if candidate.group is not None
         }
 
-    def _services(self):
+    def _service_statuses(self):
         now_s = trio.current_time()
         planned = collections.Counter(group.service for group in self.plans.groups())
         vms = self.configuration.current.inventory.vms
         for service in self.configuration.current.rules.services:
             serving = len(self.finder.find(service, now_s))
             if service.kind is rules.ServiceKind.MODEL:
-                wanted, place = service.replicas, planned[service.name]
+                wanted, planned_count = service.replicas, planned[service.name]
             else:
-                wanted = place = sum(vm.service == service.name for vm in vms)
-            yield messages.ServiceStatus(service.name, wanted, place, serving)
+                wanted = planned_count = sum(vm.service == service.name for vm in vms)
+            yield messages.ServiceStatus(service.name, wanted, planned_count, serving)
 
-    def _zones(self):
+    def _zone_statuses(self):
         by_zone: dict[str, list[inventory.Vm]] = collections.defaultdict(list)
         for vm in self.configuration.current.inventory.vms:
             by_zone[vm.availability_zone].append(vm)
@@ -92,9 +92,9 @@
                 zone.name,
                 zone.name in self.configuration.current.zones_out,
                 len(vms),
-                sum(self._running(vm) for vm in vms),
+                sum(self._running_requests(vm) for vm in vms),
             )
 
-    def _running(self, vm: inventory.Vm) -> int:
+    def _running_requests(self, vm: inventory.Vm) -> int:
         report = self.view.fresh_report(vm.vm, trio.current_time())
         return report.running if report else 0
