--- a/toucanhold/backends/__init__.py
+++ b/toucanhold/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Backend servers: model engines and plain services behind one interface."""
+"""The client of backend servers: model engines and plain services behind one interface."""
--- a/toucanhold/backends/client.py
+++ b/toucanhold/backends/client.py
@@ -1,4 +1,4 @@
-"""What the system asks of a backend server."""
+"""The interface for calls to backend servers, with its messages and errors."""
 
 import abc
 import collections.abc
@@ -11,31 +11,31 @@
 
 
 class BackendError(Exception):
-    """A backend server did not answer as asked."""
+    """A call to a backend server failed."""
 
 
 class NotSentError(BackendError):
-    """No byte of the request left: it certainly did not run."""
+    """No byte of the request was sent, so it certainly did not run."""
 
 
 class ConnectRefusedError(NotSentError):
-    """Nothing listens at the address: the process is gone, not merely slow or cut off."""
+    """The connection was refused: the process has ended and is not merely slow or partitioned."""
 
 
 class AnswerLostError(BackendError):
-    """The request was sent at least in part: it may have run."""
+    """The request was sent at least in part, so it may have run."""
 
 
 class MismatchedAnswerError(AnswerLostError):
-    """The answer belongs to another request."""
+    """The request id of the answer is that of another request."""
 
 
 class OrderRefusedError(BackendError):
-    """An engine refused an order, for example for its old fencing number."""
+    """An engine refused an order, for example because of an outdated fencing number."""
 
 
 class Warmth(enum.Enum):
-    """Whether a backend server bears its full load."""
+    """Whether a backend server can take its full load."""
 
     COLD = "cold"
     WARM = "warm"
@@ -43,17 +43,23 @@
 
 @attrs.frozen
 class Report:
-    """A backend server's own word, from its load report.
-
-    :ivar boot_id: changes with each start
-    :ivar bearable: requests it bears at once while cold; None where it does not say
-    :ivar running: requests it runs
-    :ivar waiting: requests in its queue
-    :ivar slots: requests it runs at once when warm; None where it does not say
-    :ivar group: the group it has joined
-    :ivar generation: that group's generation
-    :ivar leaving: it is about to stop and wants no new work
-    :ivar highest_fencing: highest fencing number it has seen
+    """The load report of a backend server.
+
+    :ivar vm: name of its VM
+    :ivar boot_id: identifies the start of the process; changes with each start
+    :ivar bearable: number of concurrent requests that it can run while cold; None if not reported
+    :ivar running: number of requests that it runs
+    :ivar waiting: number of requests in its queue
+    :ivar slots: number of concurrent requests that it can run when warm; None if not reported
+    :ivar group: the group that it has joined; None without a group
+    :ivar generation: generation of that group
+    :ivar rank: its rank in that group
+    :ivar model: the loaded model; None without one
+    :ivar version: version of the loaded model
+    :ivar adapters: names of the loaded adapters
+    :ivar loading: whether it is loading a model
+    :ivar leaving: whether it is about to stop and must get no new work
+    :ivar highest_fencing: highest fencing number that it has seen
     """
 
     vm: str
@@ -76,8 +82,10 @@
 
 @attrs.frozen
 class JoinOrder:
-    """Load a model and join a group.
+    """Orders an engine to load a model and join a group.
 
+    :ivar fencing: fencing number; an engine that checks it refuses numbers below the highest seen
+    :ivar rank: rank of the engine in the group
     :ivar members: addresses of the group's backend servers, by rank
     """
 
@@ -93,7 +101,10 @@
 
 @attrs.frozen
 class LeaveOrder:
-    """Leave the present group."""
+    """Orders an engine to leave its current group.
+
+    :ivar fencing: fencing number; an engine that checks it refuses numbers below the highest seen
+    """
 
     fencing: int
     order: str = "leave"
@@ -104,14 +115,15 @@
 
 @attrs.frozen
 class ForwardedRequest:
-    """A caller's request on its way to one backend server.
-
-    :ivar request_id: sent as ``x-request-id`` and expected back
-    :ivar fresh_connection: never on a connection that was used before
-    :ivar timeout_s: longest wait for the connection; the caller bounds the rest
-    :ivar boot_id: the only boot that may get it; empty for any
-    :ivar warm_only: whether a new connection must first show the boot to be warm
-    :ivar guard: asked right before the first and the last byte leave; false stops the request
+    """A request to be forwarded to one backend server.
+
+    :ivar path: path with the query string
+    :ivar request_id: sent as ``x-request-id`` and expected in the answer
+    :ivar timeout_s: longest time for connecting; the user of the client bounds the rest
+    :ivar fresh_connection: whether to send it on a new connection only
+    :ivar boot_id: the only boot that may receive it; empty for any
+    :ivar warm_only: whether the boot must report to be warm when its connection is new
+    :ivar guard: called right before the first and the last byte are sent; false aborts the request
     """
 
     method: str
@@ -128,7 +140,10 @@
 
 @attrs.frozen
 class ForwardedResponse:
-    """The head of an answer and the chunks of its body, which raise :class:`BackendError`."""
+    """Status and headers of an answer, and its body.
+
+    :ivar chunks: chunks of the body; iteration raises :class:`BackendError` if it is truncated
+    """
 
     status: int
     headers: Headers
@@ -136,33 +151,34 @@
 
 
 class BackendClient(abc.ABC):
-    """The calls to backend servers; ``address`` is ``IP:port``."""
+    """Calls backend servers; every ``address`` is ``IP:port``."""
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Release connections."""
+        """Close all idle connections."""
 
     @abc.abstractmethod
     async def read_report(self, address: str, timeout_s: float) -> Report:
-        """Return the load report.
+        """Return the load report of a backend server.
 
-        :raises BackendError: when there is none in time
+        :raises BackendError: when no valid report arrives within ``timeout_s``
         """
 
     @abc.abstractmethod
     async def send_order(self, address: str, order: Order, timeout_s: float) -> None:
-        """Give an order to an engine.
+        """Send an order to an engine.
 
-        :raises OrderRefusedError: when the engine refuses it
-        :raises BackendError: when the outcome is not known
+        :raises NotSentError: when the order certainly did not run
+        :raises OrderRefusedError: when the engine refuses the order
+        :raises BackendError: when the outcome is unknown
         """
 
     @abc.abstractmethod
     def forward(
         self, address: str, request: ForwardedRequest
     ) -> contextlib.AbstractAsyncContextManager[ForwardedResponse]:
-        """Send one request and give its answer; leaving the context early cancels it.
+        """Send a request and yield its answer; leaving the context early cancels the request.
 
-        :raises NotSentError: when it certainly did not run
-        :raises AnswerLostError: when it may have run
+        :raises NotSentError: when the request certainly did not run
+        :raises AnswerLostError: when the request may have run
         """
--- a/toucanhold/backends/http.py
+++ b/toucanhold/backends/http.py
@@ -1,4 +1,4 @@
-"""Backend servers over HTTP/1.1."""
+"""Calls backend servers over HTTP/1.1."""
 
 import collections.abc
 import contextlib
@@ -26,17 +26,17 @@
 
 @attrs.define(eq=False)
 class HttpBackendClient(client.BackendClient):
-    """Keeps the idle connections of each backend server."""
+    """Calls backend servers over pooled HTTP/1.1 connections, one pool for each address."""
 
     _pools: dict[str, pool.Pool] = attrs.field(factory=dict, init=False)
-    _open_answers: int = attrs.field(default=0, init=False)
+    _open_responses: int = attrs.field(default=0, init=False)
 
     async def close(self) -> None:
         """Close all idle connections."""
         pools = list(self._pools.values())
         self._pools.clear()
-        for each in pools:
-            await _close_all(each.drain())
+        for connection_pool in pools:
+            await _close_all(connection_pool.drain())
 
     async def read_report(self, address: str, timeout_s: float) -> client.Report:
         """See :class:`client.BackendClient`."""
@@ -57,35 +57,37 @@
         self, address: str, request: client.ForwardedRequest
     ) -> collections.abc.AsyncIterator[client.ForwardedResponse]:
         """See :class:`client.BackendClient`."""
-        with _translated_errors(address, client.NotSentError):
-            connection = await self._connection(address, request)
-        self._open_answers += 1
+        with _translate_errors(address, client.NotSentError):
+            connection = await self._acquire_connection(address, request)
+        self._open_responses += 1
         try:
-            with _translated_errors(address, client.AnswerLostError):
+            with _translate_errors(address, client.AnswerLostError):
                 response = await connection.http.handle_async_request(
                     _to_httpcore(address, request)
                 )
             try:
                 _check_request_id(address, request, response)
                 _check_framing(address, request, response)
-                chunks = _chunks(address, response)
+                chunks = _read_chunks(address, response)
                 yield client.ForwardedResponse(response.status, tuple(response.headers), chunks)
             finally:
                 await _close_shielded(response)
         finally:
-            self._open_answers -= 1
-            await self._put_away(address, connection)
+            self._open_responses -= 1
+            await self._release_connection(address, connection)
 
-    async def _connection(self, address: str, request: client.ForwardedRequest) -> pool.Connection:
+    async def _acquire_connection(
+        self, address: str, request: client.ForwardedRequest
+    ) -> pool.Connection:
         if not request.fresh_connection:
-            connection, stale = self._pool(address).take(request.boot_id)
+            connection, stale = self._pool(address).acquire(request.boot_id)
             await _close_all(stale)
             if connection is not None and (connection.boot_id or not request.boot_id):
                 return connection
         else:
             # A server may close an idle connection while a request is being written to it. The
-            # caller would get "unknown" for an order that in truth never ran; a new connection
-            # has no such race.
+            # caller would then get an unknown outcome for an order that never ran. A new connection
+            # does not have this race.
             connection = None
         if connection is None:
             connection = await pool.connect(
@@ -98,42 +100,46 @@
     async def _check_boot(
         self, address: str, connection: pool.Connection, request: client.ForwardedRequest
     ) -> None:
-        # The report that this request was placed by came over another connection. A server that
-        # restarted since is cold and would fall over under work meant for its warm predecessor.
-        # A connection ends with the process at its other end, so one report asked for over this
-        # connection holds for as long as it lives.
+        # The request was placed by a report that came over another connection. If the server has
+        # restarted since, it is cold, and the load meant for the warm process could make it fail.
+        # A connection ends with the process at its other end, so the boot id of one report that is
+        # read over this connection is valid for the lifetime of the connection.
         try:
             with trio.fail_after(BOOT_CHECK_TIMEOUT_S):
-                report = await self._report_over(address, connection, request.timeout_s)
+                report = await self._read_report_over(address, connection, request.timeout_s)
             if report.boot_id != request.boot_id:
-                raise client.NotSentError(f"{address}: has booted again")
+                raise client.NotSentError(f"{address}: restarted since it was chosen")
             if request.warm_only and report.warmth is not client.Warmth.WARM:
-                raise client.NotSentError(f"{address}: has turned cold")
+                raise client.NotSentError(f"{address}: cold, but the request needs a warm server")
         except trio.TooSlowError as error:
             await _close_all([connection])
-            raise client.NotSentError(f"{address}: no load report in time") from error
+            raise client.NotSentError(
+                f"{address}: no load report within {BOOT_CHECK_TIMEOUT_S} s"
+            ) from error
         except BaseException:
             await _close_all([connection])
             raise
         connection.boot_id = report.boot_id
 
-    async def _report_over(
+    async def _read_report_over(
         self, address: str, connection: pool.Connection, timeout_s: float
     ) -> client.Report:
-        asked = client.ForwardedRequest("GET", REPORT_PATH, (), b"", "control", timeout_s)
+        report_request = client.ForwardedRequest("GET", REPORT_PATH, (), b"", "control", timeout_s)
         try:
-            with _translated_errors(address, client.NotSentError):
-                response = await connection.http.handle_async_request(_to_httpcore(address, asked))
+            with _translate_errors(address, client.NotSentError):
+                response = await connection.http.handle_async_request(
+                    _to_httpcore(address, report_request)
+                )
             try:
-                body = await _read_limited(address, _chunks(address, response))
+                body = await _read_limited(address, _read_chunks(address, response))
             finally:
                 await _close_shielded(response)
             return _parse_report(address, response.status, body)
         except client.BackendError as error:
             raise client.NotSentError(f"{address}: no load report: {error}") from error
 
-    async def _put_away(self, address: str, connection: pool.Connection) -> None:
-        if not self._pool(address).give_back(connection):
+    async def _release_connection(self, address: str, connection: pool.Connection) -> None:
+        if not self._pool(address).release(connection):
             await _close_all([connection])
 
     async def _exchange(
@@ -147,10 +153,10 @@
                 async with self.forward(address, request) as response:
                     return response.status, await _read_limited(address, response.chunks)
         except trio.TooSlowError as error:
-            raise client.AnswerLostError(f"{address}: no answer in {timeout_s} s") from error
+            raise client.AnswerLostError(f"{address}: no answer within {timeout_s} s") from error
 
     def _read_interval_s(self) -> float:
-        return pacing.interval_s(self._open_answers)
+        return pacing.read_interval_s(self._open_responses)
 
     def _pool(self, address: str) -> pool.Pool:
         if address not in self._pools:
@@ -159,7 +165,7 @@
 
 
 def error_type(body: bytes) -> str:
-    """Return the ``error.type`` of an engine's refusal, or an empty string."""
+    """Return the ``error.type`` of an engine's JSON error body, or an empty string without one."""
     try:
         return json.loads(body)["error"]["type"]
     except (ValueError, KeyError, TypeError):
@@ -170,8 +176,8 @@
     if status != 200:
         raise client.BackendError(f"{address}: load report: HTTP status {status}")
     try:
-        # A newer server reports more than is known here; to refuse its report would take a healthy
-        # server out of service.
+        # Unknown fields are ignored: a newer server may report them, and rejecting its report would
+        # take a healthy server out of service.
         return codec.from_json(body, client.Report)
     except codec.CodecError as error:
         raise client.BackendError(f"{address}: load report: {error}") from error
@@ -182,29 +188,35 @@
     async for chunk in chunks:
         content += chunk
         if len(content) > REPORT_LIMIT_BYTES:
-            raise client.AnswerLostError(f"{address}: oversized answer")
+            raise client.AnswerLostError(
+                f"{address}: the answer exceeds {REPORT_LIMIT_BYTES} bytes"
+            )
     return bytes(content)
 
 
 def _check_request_id(
     address: str, request: client.ForwardedRequest, response: httpcore.Response
 ) -> None:
-    # A plain service need not return the header: then the connection, which carries one request
-    # at a time and is closed after any irregular end, is what ties the answer to its request.
-    found = _header(response.headers, REQUEST_ID_HEADER)
-    if found not in (None, request.request_id.encode()):
-        raise client.MismatchedAnswerError(f"{address}: an answer to another request")
+    # A plain service need not return the header. In that case the connection ties the answer to its
+    # request: it carries one request at a time and is closed after any irregular end.
+    response_id = _find_header(response.headers, REQUEST_ID_HEADER)
+    if response_id not in (None, request.request_id.encode()):
+        raise client.MismatchedAnswerError(
+            f"{address}: the answer has the request id of another request"
+        )
 
 
 def _check_framing(
     address: str, request: client.ForwardedRequest, response: httpcore.Response
 ) -> None:
-    # A body that ends with its connection looks the same whole or cut short.
+    # If a body ends with its connection, a truncated body cannot be told from a complete one.
     if request.method == "HEAD" or response.status in BODILESS_STATUSES:
         return
     names = {key.lower() for key, _ in response.headers}
     if not names & FRAMING_HEADERS:
-        raise client.AnswerLostError(f"{address}: an answer without a length")
+        raise client.AnswerLostError(
+            f"{address}: the answer has neither content-length nor transfer-encoding"
+        )
 
 
 def _to_httpcore(address: str, request: client.ForwardedRequest) -> httpcore.Request:
@@ -232,7 +244,7 @@
 def _guarded_head(address: str, guard: collections.abc.Callable[[], bool]):
     async def trace(name: str, info: dict) -> None:
         if name == "http11.send_request_headers.started" and not guard():
-            raise client.NotSentError(f"{address}: no longer allowed")
+            raise client.NotSentError(f"{address}: permission lost before the first byte was sent")
 
     return trace
 
@@ -240,14 +252,16 @@
 async def _guarded_body(
     address: str, body: bytes, guard: collections.abc.Callable[[], bool]
 ) -> collections.abc.AsyncIterator[bytes]:
-    # A process that is paused while it sends a long body wakes with its permission lapsed. The
-    # server starts nothing before the last byte, so that byte is held until the permission has
-    # been looked at once more.
+    # If the process is paused while it sends a long body, its permission may have expired when it
+    # resumes. The server starts nothing before the last byte, so that byte is sent only after the
+    # permission has been checked again.
     if len(body) > 1:
         yield body[:-1]
     if body:
         if not guard():
-            raise client.AnswerLostError(f"{address}: no longer allowed")
+            raise client.AnswerLostError(
+                f"{address}: permission lost before the last byte was sent"
+            )
         yield body[-1:]
 
 
@@ -258,28 +272,28 @@
 
 
 @contextlib.contextmanager
-def _translated_errors(
-    address: str, kind: type[client.BackendError]
+def _translate_errors(
+    address: str, error_class: type[client.BackendError]
 ) -> collections.abc.Iterator[None]:
     try:
         yield
     except CONNECT_ERRORS as error:
         if refusals.is_refusal(error):
-            raise client.ConnectRefusedError(f"{address}: nothing listens there") from error
+            raise client.ConnectRefusedError(f"{address}: connection refused") from error
         raise client.NotSentError(f"{address}: cannot connect: {error!r}") from error
     except TRANSFER_ERRORS as error:
-        raise kind(f"{address}: connection lost: {error!r}") from error
+        raise error_class(f"{address}: connection lost: {error!r}") from error
 
 
-async def _chunks(address: str, response: httpcore.Response) -> collections.abc.AsyncIterator:
-    with _translated_errors(address, client.AnswerLostError):
+async def _read_chunks(address: str, response: httpcore.Response) -> collections.abc.AsyncIterator:
+    with _translate_errors(address, client.AnswerLostError):
         async for chunk in response.aiter_stream():
             yield chunk
 
 
 async def _close_shielded(response: httpcore.Response) -> None:
-    # Closing an unfinished response closes its connection, so that the rest of a late answer can
-    # never be read as the answer to another request.
+    # Closing an unfinished response closes its connection, so the rest of a late answer can never
+    # be read as the answer to another request.
     with trio.CancelScope(shield=True):
         await response.aclose()
 
@@ -290,5 +304,5 @@
             await connection.http.aclose()
 
 
-def _header(headers: client.Headers, name: bytes) -> bytes | None:
+def _find_header(headers: client.Headers, name: bytes) -> bytes | None:
     return next((value for key, value in headers if key.lower() == name), None)
--- a/toucanhold/backends/pacing.py
+++ b/toucanhold/backends/pacing.py
@@ -1,4 +1,4 @@
-"""Network streams that read less often, and more at once, while many are open."""
+"""TCP streams that limit the rate of reads when many responses are open."""
 
 import collections.abc
 import typing
@@ -7,43 +7,46 @@
 import httpcore
 import trio
 
-# Below this many open answers each token is passed on as it comes.
-FREE_ANSWERS = 16
-INTERVAL_PER_ANSWER_S = 0.0005
+# Up to this number of open responses, each token is forwarded as soon as it arrives.
+UNPACED_RESPONSES = 16
+INTERVAL_PER_RESPONSE_S = 0.0005
 MAX_INTERVAL_S = 0.2
-# A read that brought more than some tokens is part of a long body, which must not be slowed.
+# A read of this size is more than a few tokens: it is part of a long body, which is not paced.
 LONG_READ_BYTES = 4096
 
-Interval = collections.abc.Callable[[], float]
+IntervalFunction = collections.abc.Callable[[], float]
 
 
-def interval_s(open_answers: int) -> float:
-    """Return the least time between two reads of one answer, in seconds."""
-    # Each read that is passed on costs about the same, however many tokens it brings. What arrives
-    # in the meantime is put together by the kernel.
-    return min(MAX_INTERVAL_S, max(0, open_answers - FREE_ANSWERS) * INTERVAL_PER_ANSWER_S)
+def read_interval_s(open_responses: int) -> float:
+    """Return the minimum time between two reads of one response, in seconds.
+
+    :param open_responses: number of responses that are being read at the same time
+    """
+    # Forwarding a read costs about the same, however many tokens it holds. Tokens that arrive
+    # between two reads are buffered by the kernel and read together.
+    return min(MAX_INTERVAL_S, max(0, open_responses - UNPACED_RESPONSES) * INTERVAL_PER_RESPONSE_S)
 
 
 @attrs.define(eq=False)
 class PacedStream(httpcore.AsyncNetworkStream):
     """A TCP stream for httpcore.
 
-    Its timeouts are not used: every request as a whole runs in a scope with a deadline, and a
-    scope for each read costs as much as the read.
+    The ``timeout`` parameters are ignored: each request runs in a cancel scope with a deadline, and
+    a scope for each read would cost as much as the read itself.
 
-    :ivar interval: returns the least time between two reads, in seconds
+    :ivar read_interval: returns the minimum time between two reads, in seconds
     """
 
     stream: trio.SocketStream
-    interval: Interval
+    read_interval: IntervalFunction
     _last_read_s: float = float("-inf")
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Return what has arrived; empty at the end.
+        """Return the bytes that have arrived; empty at the end of the stream.
 
-        :raises httpcore.ReadError: when the connection broke
+        :raises httpcore.ReadError: when the connection failed
         """
-        wait_s = self.interval()
+        wait_s = self.read_interval()
         if wait_s:
             wait_s += self._last_read_s - trio.current_time()
             if wait_s > 0:
@@ -57,9 +60,9 @@
         return bytes(data)
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Send everything.
+        """Send all bytes.
 
-        :raises httpcore.WriteError: when the connection broke
+        :raises httpcore.WriteError: when the connection failed
         """
         if not buffer:
             return
@@ -73,23 +76,26 @@
         await self.stream.aclose()
 
     def get_extra_info(self, info: str) -> typing.Any:
-        """Return whether an idle connection has something to read; nothing else is known."""
+        """Return whether data can be read, for ``is_readable``; None for all other names."""
         if info == "is_readable":
             return self.stream.socket.is_readable()
         return None
 
 
-async def connect(host: str, port: int, timeout_s: float, interval: Interval) -> PacedStream:
-    """Open a connection.
+async def connect(
+    host: str, port: int, timeout_s: float, read_interval: IntervalFunction
+) -> PacedStream:
+    """Open a TCP connection.
 
-    :raises httpcore.ConnectError: when it cannot be opened
-    :raises httpcore.ConnectTimeout: when it is not open in time
+    :param read_interval: returns the minimum time between two reads, in seconds
+    :raises httpcore.ConnectError: when the connection cannot be opened
+    :raises httpcore.ConnectTimeout: when it is not open within ``timeout_s``
     """
     try:
         with trio.fail_after(timeout_s):
             stream = await trio.open_tcp_stream(host, port)
     except trio.TooSlowError as error:
-        raise httpcore.ConnectTimeout(f"no connection in {timeout_s} s") from error
+        raise httpcore.ConnectTimeout(f"no connection within {timeout_s} s") from error
     except OSError as error:
         raise httpcore.ConnectError(str(error)) from error
-    return PacedStream(stream, interval)
+    return PacedStream(stream, read_interval)
--- a/toucanhold/backends/pool.py
+++ b/toucanhold/backends/pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to one backend server, each known to one of its boots."""
+"""A pool of idle connections to one backend server, each bound to one boot of the server."""
 
 import collections
 
@@ -7,36 +7,36 @@
 
 from toucanhold.backends import pacing
 
-KEEP_CONNECTION_S = 30.0
+KEEPALIVE_EXPIRY_S = 30.0
 MAX_IDLE_CONNECTIONS = 64
 CONNECT_TIMEOUT_S = 1.0
 
 
 @attrs.define(eq=False)
 class Connection:
-    """One HTTP/1.1 connection; it carries one request at a time.
+    """An HTTP/1.1 connection, which carries one request at a time.
 
-    :ivar boot_id: the boot at its other end; empty until a load report came over it
+    :ivar boot_id: boot of the server at its other end; empty until checked by a load report
     """
 
     http: httpcore.AsyncHTTP11Connection
     boot_id: str = ""
 
     def is_reusable(self) -> bool:
-        """Tell whether the last exchange ended cleanly and left nothing behind."""
-        # A server that answers twice leaves the second answer in the parser, where it would be
-        # read as the answer to the next request. httpcore does not show it, hence the look inside.
+        """Return whether the last exchange ended cleanly and left no unread data."""
+        # If a server answers a request twice, the second answer stays in the parser and would be
+        # read as the answer to the next request. httpcore has no public interface for this state.
         state = getattr(self.http, "_h11_state", None)
         return self.http.is_idle() and state is not None and not state.trailing_data[0]
 
     def is_stale(self) -> bool:
-        """Tell whether an idle connection has expired or was closed at its other end."""
+        """Return whether an idle connection has expired or was closed by the server."""
         return self.http.is_closed() or self.http.has_expired()
 
 
 @attrs.define(eq=False)
 class Pool:
-    """Connections to one address; the caller owns those that it took.
+    """Idle connections to one address; whoever acquires a connection owns it until its release.
 
     :ivar address: ``IP:port``
     """
@@ -44,47 +44,50 @@
     address: str
     _idle: collections.deque[Connection] = attrs.field(factory=collections.deque, init=False)
 
-    def take(self, boot_id: str) -> tuple[Connection | None, list[Connection]]:
-        """Return an idle connection to a boot, and stale ones that the caller must close.
+    def acquire(self, boot_id: str) -> tuple[Connection | None, list[Connection]]:
+        """Return an idle connection, or None, and unusable ones that the caller must close.
 
-        :param boot_id: the wanted boot; empty for any
+        :param boot_id: boot that the connection must lead to, unless it is still unchecked; empty
+            for any
         """
         stale = []
         while self._idle:
             connection = self._idle.pop()
-            wrong_boot = boot_id and connection.boot_id not in ("", boot_id)
-            if not wrong_boot and not connection.is_stale():
+            is_other_boot = boot_id and connection.boot_id not in ("", boot_id)
+            if not is_other_boot and not connection.is_stale():
                 return connection, stale
             stale.append(connection)
         return None, stale
 
-    def give_back(self, connection: Connection) -> bool:
-        """Keep a connection for later; false where the caller must close it."""
+    def release(self, connection: Connection) -> bool:
+        """Return a connection to the pool.
+
+        :return: false if it cannot be kept and the caller must close it
+        """
         if not connection.is_reusable() or len(self._idle) >= MAX_IDLE_CONNECTIONS:
             return False
         self._idle.append(connection)
         return True
 
     def drain(self) -> list[Connection]:
-        """Take all idle connections out."""
+        """Remove all idle connections and return them."""
         connections = list(self._idle)
         self._idle.clear()
         return connections
 
 
 async def connect(
-    origin: httpcore.Origin, timeout_s: float, interval: pacing.Interval
+    origin: httpcore.Origin, timeout_s: float, read_interval: pacing.IntervalFunction
 ) -> Connection:
     """Open a connection.
 
-    :param interval: returns the least time between two reads, in seconds
-
-    :raises httpcore.ConnectError: when it cannot be opened
+    :param read_interval: returns the minimum time between two reads, in seconds
+    :raises httpcore.ConnectError: when the connection cannot be opened
     :raises httpcore.ConnectTimeout: when it is not open in time
     """
-    # A dark VM answers nothing at all: without a short limit of its own, the attempt to connect
-    # would use up the time in which another backend server could serve the request.
+    # An unreachable VM does not answer at all. Without a short limit of its own, the attempt to
+    # connect would use up the time in which another backend server could serve the request.
     stream = await pacing.connect(
-        origin.host.decode(), origin.port, min(timeout_s, CONNECT_TIMEOUT_S), interval
+        origin.host.decode(), origin.port, min(timeout_s, CONNECT_TIMEOUT_S), read_interval
     )
-    return Connection(httpcore.AsyncHTTP11Connection(origin, stream, KEEP_CONNECTION_S))
+    return Connection(httpcore.AsyncHTTP11Connection(origin, stream, KEEPALIVE_EXPIRY_S))
