--- a/toucanhold/cli/__init__.py
+++ b/toucanhold/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command-line interface."""
--- a/toucanhold/cli/application.py
+++ b/toucanhold/cli/application.py
@@ -1,4 +1,4 @@
-"""Runs a command and turns its errors into exit statuses."""
+"""Runs a command of the command line and returns its exit status."""
 
 import collections.abc
 import functools
@@ -15,8 +15,8 @@
 from toucanhold.cli import command, definitions
 
 PROGRAM = "toucanhold"
-# Where each command lives. Only the one that is asked for is imported: an entry that has been
-# killed is away for as long as its imports take, while callers press.
+# The module and class of each command. Only the requested one is imported, because import time adds
+# to the downtime of an entry that restarts under load.
 COMMANDS = (
     (definitions.ENTRY, "running", "EntryCommand"),
     (definitions.PLATFORM_ENTRY, "platform", "PlatformEntryCommand"),
@@ -32,24 +32,26 @@
 
 
 def run(
-    words: collections.abc.Sequence[str], env: environment.Environment
+    arguments: collections.abc.Sequence[str], env: environment.Environment
 ) -> exitstatus.ExitStatus:
-    """Run the command that ``words`` name.
+    """Run one command.
 
-    :param words: arguments without the program's name
+    :param arguments: command-line arguments without the program's name
+    :param env: environment variables and output streams
+    :return: the exit status of the command; ``USAGE`` for an unknown command or wrong arguments
     """
     app = cleo.application.Application(PROGRAM, toucanhold.__version__)
     app.auto_exits(False)
     factories = {
-        shown.name: functools.partial(_new_command, module, name, env)
-        for shown, module, name in COMMANDS
+        command_definition.name: functools.partial(_new_command, module, class_name, env)
+        for command_definition, module, class_name in COMMANDS
     }
     app.set_command_loader(cleo.loaders.factory_command_loader.FactoryCommandLoader(factories))
     app.catch_exceptions(False)
     errors = cleo.io.outputs.stream_output.StreamOutput(env.stderr)
     try:
         code = app.run(
-            cleo.io.inputs.argv_input.ArgvInput([PROGRAM, *words]),
+            cleo.io.inputs.argv_input.ArgvInput([PROGRAM, *arguments]),
             cleo.io.outputs.stream_output.StreamOutput(env.stdout),
             errors,
         )
@@ -59,5 +61,5 @@
     return exitstatus.ExitStatus(code)
 
 
-def _new_command(module: str, name: str, env: environment.Environment) -> command.Command:
-    return getattr(importlib.import_module(f"toucanhold.cli.{module}"), name)(env)
+def _new_command(module: str, class_name: str, env: environment.Environment) -> command.Command:
+    return getattr(importlib.import_module(f"toucanhold.cli.{module}"), class_name)(env)
--- a/toucanhold/cli/command.py
+++ b/toucanhold/cli/command.py
@@ -1,4 +1,4 @@
-"""What all commands share."""
+"""The base class of all commands."""
 
 import abc
 import collections.abc
@@ -12,28 +12,29 @@
 
 
 class UsageError(Exception):
-    """An argument or option is wrong."""
+    """An argument or option is invalid."""
 
 
 class Command(cleo.commands.command.Command, abc.ABC):
     """A command of the command line.
 
-    :cvar shown: its names and help
+    :cvar command_definition: name, arguments, options and help of the command
+    :ivar env: environment variables and output streams
     """
 
-    shown: definitions.CommandDefinition
+    command_definition: definitions.CommandDefinition
 
     def __init__(self, env: environment.Environment) -> None:
-        self.name = self.shown.name
-        self.description = self.shown.description
-        self.help = self.shown.help
-        self.arguments = list(self.shown.arguments)
-        self.options = list(self.shown.options)
+        self.name = self.command_definition.name
+        self.description = self.command_definition.description
+        self.help = self.command_definition.help
+        self.arguments = list(self.command_definition.arguments)
+        self.options = list(self.command_definition.options)
         super().__init__()
         self.env = env
 
     def handle(self) -> int:
-        """Run the command and turn its errors into lines and an exit status."""
+        """Run the command, report usage errors and return the exit status."""
         try:
             return int(self.execute_command())
         except UsageError as error:
@@ -41,42 +42,49 @@
 
     @abc.abstractmethod
     def execute_command(self) -> exitstatus.ExitStatus:
-        """Do the command's work."""
+        """Run the command.
+
+        :raises UsageError: when an argument or option is invalid
+        """
 
     def fail(self, status: exitstatus.ExitStatus, *lines: str) -> int:
-        """Print error lines and return the exit status."""
+        """Print lines to standard error and return the exit status."""
         for line in lines:
             self.line_error(line, style="error")
         return int(status)
 
-    def progress(self, line: str) -> None:
-        """Tell a waiting operator something new, apart from the answer."""
+    def print_progress(self, line: str) -> None:
+        """Print a progress line to standard error, separate from the result."""
         self.line_error(line, style="comment")
 
-    def show(self, value: object, text: collections.abc.Iterable[str]) -> None:
-        """Print ``value`` as JSON, or ``text``, as the operator asked."""
-        chosen = self.option("format")
-        if chosen not in definitions.FORMATS:
+    def print_result(self, value: object, text: collections.abc.Iterable[str]) -> None:
+        """Print ``value`` as JSON or the lines of ``text``, depending on ``--format``.
+
+        :raises UsageError: when the format is unknown
+        """
+        output_format = self.option("format")
+        if output_format not in definitions.FORMATS:
             raise UsageError(f"--format must be one of {', '.join(definitions.FORMATS)}")
-        if chosen == "json":
+        if output_format == "json":
             self.write_plain(json.dumps(codec.CONVERTER.unstructure(value), indent=2))
             return
         for line in text:
             self.write_plain(line)
 
     def write_plain(self, line: str) -> None:
-        """Print a line as it is: names in it may look like the library's style tags."""
+        """Print a line literally: ``<`` is escaped, as cleo would interpret style tags in it."""
         self.io.write_line(line.replace("<", "\\<"))
 
-    def number_option(self, name: str, kind: type, low: float = 0) -> float:
+    def number_option(self, name: str, number_type: type, minimum: float = 0) -> float:
         """Return a numeric option.
 
-        :raises UsageError: when it is not a number of ``low`` or more
+        :param number_type: ``int`` or ``float``
+        :raises UsageError: when the value is not a finite number of at least ``minimum``
         """
         try:
-            value = kind(self.option(name))
+            value = number_type(self.option(name))
         except ValueError:
             value = math.nan
-        if not low <= value < math.inf:
-            raise UsageError(f"--{name} must be a number of {low} or more")
+        if not minimum <= value < math.inf:
+            raise UsageError(f"--{name} must be a number of at least {minimum}")
         return value
--- a/toucanhold/cli/definitions.py
+++ b/toucanhold/cli/definitions.py
@@ -1,4 +1,4 @@
-"""The commands: names, arguments, options and examples; apart from what they do."""
+"""Definitions of the commands: names, arguments, options and examples."""
 
 import attrs
 import cleo.helpers
@@ -17,9 +17,9 @@
 
 @attrs.frozen
 class CommandDefinition:
-    """What the command line shows of one command.
+    """Name, arguments, options and help of a command.
 
-    :ivar examples: command lines, each with what it does
+    :ivar examples: pairs of a command line and its description
     """
 
     name: str
@@ -30,7 +30,7 @@
 
     @property
     def help(self) -> str:
-        """The text that ``--help`` adds to arguments and options."""
+        """The description and the examples, as markup for the ``--help`` output."""
         if not self.examples:
             return self.description
         lines = [self.description, "", "<b>Examples:</b>"]
@@ -39,15 +39,17 @@
         return "\n".join(lines)
 
 
-def _value(name: str, help_text: str, default: str | None = None):
+def _value_option(name: str, help_text: str, default: str | None = None):
     return cleo.helpers.option(name, None, help_text, flag=False, default=default)
 
 
-FORMAT = _value("format", "text, or json for scripts", "text")
-ENTRY_URL = _value("entry-url", f"operators' URL of any entry ({ENTRY_URL_VARIABLE})")
-CA = _value("ca", f"PEM file of the entries' certificate authority ({CA_VARIABLE})")
-AUTHOR = _value("author", "who makes the change; kept with it", "operator")
-WAIT = _value("wait-s", "how long to wait for the effect, seconds; 0 does not wait", DEFAULT_WAIT_S)
+FORMAT = _value_option("format", "text, or json for scripts", "text")
+ENTRY_URL = _value_option("entry-url", f"operators' URL of any entry ({ENTRY_URL_VARIABLE})")
+CA = _value_option("ca", f"PEM file of the entries' certificate authority ({CA_VARIABLE})")
+AUTHOR = _value_option("author", "who makes the change; kept with it", "operator")
+WAIT = _value_option(
+    "wait-s", "how long to wait for the effect, seconds; 0 does not wait", DEFAULT_WAIT_S
+)
 OPERATOR_OPTIONS = (ENTRY_URL, CA, FORMAT)
 
 FILE = cleo.helpers.argument("file", "TOML or JSON file of inventory and rules")
@@ -57,7 +59,7 @@
     name="entry",
     description="Run an entry until it is told to stop (SIGTERM or SIGINT).",
     options=tuple(
-        _value(
+        _value_option(
             settings.flag_name(field),
             f"{field.metadata['help']} ({settings.variable_name(field)})",
         )
@@ -90,7 +92,7 @@
         *OPERATOR_OPTIONS,
         AUTHOR,
         WAIT,
-        _value("expected", "number of the configuration that the file was made from"),
+        _value_option("expected", "number of the configuration that the file was made from"),
     ),
     examples=(
         ("toucanhold apply site.toml", "Replace whatever is in force now."),
@@ -109,7 +111,7 @@
     name="explain",
     description="Tell which groups a planner would form, and what falls short; apply nothing.",
     arguments=(FILE,),
-    options=(FORMAT, _value("without", "availability zones taken out, separated by commas")),
+    options=(FORMAT, _value_option("without", "availability zones taken out, separated by commas")),
     examples=(
         ("toucanhold explain site.toml", "Place everything on healthy VMs."),
         ("toucanhold explain site.toml --without zone-a", "The same on a hot day."),
--- a/toucanhold/cli/documents.py
+++ b/toucanhold/cli/documents.py
@@ -1,4 +1,4 @@
-"""Commands about the file of inventory and rules."""
+"""Commands that check, apply, print and explain a document of inventory and rules."""
 
 import functools
 import json
@@ -12,104 +12,121 @@
 from toucanhold.planning import placement, spreading
 
 
-class CheckCommand(operating.OperatingCommand):
-    """Check a document."""
+class CheckCommand(operating.ErrorMappingCommand):
+    """Check a document file without an entry."""
 
-    shown = definitions.CHECK
+    command_definition = definitions.CHECK
 
     def execute_command(self) -> exitstatus.ExitStatus:
         """See :class:`command.Command`."""
-        checked = document.load(pathlib.Path(self.argument("file")))
-        self.show(checked, text.check(checked))
+        checked_document = document.load(pathlib.Path(self.argument("file")))
+        self.print_result(checked_document, text.check(checked_document))
         return exitstatus.ExitStatus.OK
 
 
-class ApplyCommand(operating.OperatorCommand):
-    """Apply a document."""
+class ApplyCommand(operating.OperatorsApiCommand):
+    """Apply a document file to all entries."""
 
-    shown = definitions.APPLY
+    command_definition = definitions.APPLY
 
-    async def call_entry(self, entry: client.OperatorsClient) -> exitstatus.ExitStatus:
-        """See :class:`operating.OperatorCommand`."""
-        wanted = document.load(pathlib.Path(self.argument("file")))
+    async def call_entry(self, entry_client: client.OperatorsClient) -> exitstatus.ExitStatus:
+        """See :class:`operating.OperatorsApiCommand`."""
+        new_document = document.load(pathlib.Path(self.argument("file")))
         wait_s = self.number_option("wait-s", float)
         if self.option("expected") is None:
-            expected = (await entry.status()).configuration
+            expected = (await entry_client.status()).configuration
         else:
             expected = self.number_option("expected", int)
-        for line in text.preview(await entry.preview_document(wanted)):
-            self.progress(line)
-        request = messages.ApplyRequest(wanted, expected, self.option("author"))
-        answer = await entry.apply(request)
-        self.progress(f"accepted as configuration {answer.configuration}")
-        return await show_in_force(self, entry, answer, wait_s)
+        for line in text.preview(await entry_client.preview_document(new_document)):
+            self.print_progress(line)
+        request = messages.ApplyRequest(new_document, expected, self.option("author"))
+        answer = await entry_client.apply(request)
+        self.print_progress(f"accepted as configuration {answer.configuration}")
+        return await report_in_force(self, entry_client, answer, wait_s)
 
 
-class DocumentCommand(operating.OperatorCommand):
+class DocumentCommand(operating.OperatorsApiCommand):
     """Print the document in force."""
 
-    shown = definitions.DOCUMENT
+    command_definition = definitions.DOCUMENT
 
-    async def call_entry(self, entry: client.OperatorsClient) -> exitstatus.ExitStatus:
-        """See :class:`operating.OperatorCommand`."""
-        found = await entry.document()
-        self.write_plain(json.dumps(codec.CONVERTER.unstructure(found), indent=2))
+    async def call_entry(self, entry_client: client.OperatorsClient) -> exitstatus.ExitStatus:
+        """See :class:`operating.OperatorsApiCommand`."""
+        current_document = await entry_client.document()
+        self.write_plain(json.dumps(codec.CONVERTER.unstructure(current_document), indent=2))
         return exitstatus.ExitStatus.OK
 
 
-class ExplainCommand(operating.OperatingCommand):
-    """Tell what a planner would do with a document."""
+class ExplainCommand(operating.ErrorMappingCommand):
+    """Show the groups that a planner would form for a document file, without an entry."""
 
-    shown = definitions.EXPLAIN
+    command_definition = definitions.EXPLAIN
 
     def execute_command(self) -> exitstatus.ExitStatus:
         """See :class:`command.Command`."""
-        checked = document.load(pathlib.Path(self.argument("file")))
-        without = frozenset(filter(None, (self.option("without") or "").split(",")))
-        unknown = without - {zone.name for zone in checked.rules.availability_zones}
+        checked_document = document.load(pathlib.Path(self.argument("file")))
+        zones_out = frozenset(filter(None, (self.option("without") or "").split(",")))
+        unknown = zones_out - {zone.name for zone in checked_document.rules.availability_zones}
         if unknown:
             raise command.UsageError(f"unknown availability zone: {', '.join(sorted(unknown))}")
-        decided = spreading.Spreading().place(_facts(checked, without))
-        self.show(decided, text.explanation(decided))
+        placement_result = spreading.Spreading().place(
+            _placement_input(checked_document, zones_out)
+        )
+        self.print_result(placement_result, text.explanation(placement_result))
         return exitstatus.ExitStatus.OK
 
 
-async def show_in_force(
-    asked: command.Command,
-    entry: client.OperatorsClient,
+async def report_in_force(
+    operator_command: command.Command,
+    entry_client: client.OperatorsClient,
     answer: messages.ChangeAnswer,
     wait_s: float,
 ) -> exitstatus.ExitStatus:
-    """Wait until a change is in force on every entry and print the answer."""
+    """Wait until a change is in force on every entry, and print the result.
+
+    :param wait_s: longest time to wait; 0 does not wait
+    :return: ``TIMEOUT`` if the change is not in force everywhere in time, ``NOT_DURABLE`` if the
+        key-value service has not stored it, else ``OK``
+    """
     number = answer.configuration
     status = exitstatus.ExitStatus.OK
     if not answer.durable:
-        return _show_held(asked, answer)
+        return _report_not_durable(operator_command, answer)
     if wait_s:
-        done = await waiting.wait_until(
-            asked,
-            entry,
-            lambda seen: not text.entries_behind(seen, number),
+        final_status = await waiting.wait_for_status(
+            operator_command,
+            entry_client,
+            lambda current: not text.entries_behind(current, number),
             functools.partial(text.in_force, number=number),
             wait_s,
         )
-        if done is None:
-            asked.progress(f"accepted, but not in force everywhere within {wait_s:g} s")
+        if final_status is None:
+            operator_command.print_progress(
+                f"accepted, but not in force everywhere within {wait_s:g} s"
+            )
             status = exitstatus.ExitStatus.TIMEOUT
-    asked.show(answer, [f"configuration {number}"])
+    operator_command.print_result(answer, [f"configuration {number}"])
     return status
 
 
-def _show_held(asked: command.Command, answer: messages.ChangeAnswer) -> exitstatus.ExitStatus:
-    asked.progress(f"in force on {', '.join(answer.in_force)}")
+def _report_not_durable(
+    operator_command: command.Command, answer: messages.ChangeAnswer
+) -> exitstatus.ExitStatus:
+    operator_command.print_progress(f"in force on {', '.join(answer.in_force)}")
     if answer.not_in_force:
-        asked.progress(f"not acknowledged by {', '.join(answer.not_in_force)}")
-    asked.progress("not durable yet: the key-value service does not answer")
-    asked.show(answer, ["held, not durable"])
+        operator_command.print_progress(f"not acknowledged by {', '.join(answer.not_in_force)}")
+    operator_command.print_progress("not durable yet: the key-value service does not answer")
+    operator_command.print_result(answer, ["held, not durable"])
     return exitstatus.ExitStatus.NOT_DURABLE
 
 
-def _facts(checked: document.Document, without: frozenset[str]) -> placement.PlacementInput:
-    configuration = snapshot.Configuration(0, checked.inventory, checked.rules, without)
-    usable = frozenset(vm.vm for vm in checked.inventory.vms if vm.availability_zone not in without)
+def _placement_input(
+    checked_document: document.Document, zones_out: frozenset[str]
+) -> placement.PlacementInput:
+    configuration = snapshot.Configuration(
+        0, checked_document.inventory, checked_document.rules, zones_out
+    )
+    usable = frozenset(
+        vm.vm for vm in checked_document.inventory.vms if vm.availability_zone not in zones_out
+    )
     return placement.PlacementInput(configuration, {}, usable)
--- a/toucanhold/cli/operating.py
+++ b/toucanhold/cli/operating.py
@@ -1,4 +1,4 @@
-"""What the commands of operators share."""
+"""Base classes of the operators' commands."""
 
 import abc
 
@@ -9,7 +9,7 @@
 from toucanhold.configuration import document
 from toucanhold.operators import client
 
-STATUS_OF_KIND = {
+EXIT_STATUS_BY_KIND = {
     "invalid": exitstatus.ExitStatus.INVALID,
     "conflict": exitstatus.ExitStatus.CONFLICT,
     "unavailable": exitstatus.ExitStatus.UNAVAILABLE,
@@ -19,39 +19,42 @@
 }
 
 
-class OperatingCommand(command.Command):
-    """A command that reads documents or asks an entry."""
+class ErrorMappingCommand(command.Command):
+    """A command that maps errors of documents and of calls to entries to exit statuses."""
 
     def handle(self) -> int:
         """See :class:`command.Command`."""
         try:
             return super().handle()
         except client.OperatorsClientError as error:
-            status = STATUS_OF_KIND.get(error.kind, exitstatus.ExitStatus.ERROR)
+            status = EXIT_STATUS_BY_KIND.get(error.kind, exitstatus.ExitStatus.ERROR)
             return self.fail(status, f"{error.kind}: {error}", *error.mistakes)
         except document.InvalidDocumentError as error:
             mistakes = [str(mistake) for mistake in error.exceptions]
             return self.fail(exitstatus.ExitStatus.INVALID, error.message, *mistakes)
 
 
-class OperatorCommand(OperatingCommand):
-    """A command that calls an entry's operators' interface."""
+class OperatorsApiCommand(ErrorMappingCommand):
+    """A command that calls the operators' interface of an entry."""
 
     def execute_command(self) -> exitstatus.ExitStatus:
         """See :class:`command.Command`."""
-        return trio.run(self.call_entry, self._client())
+        return trio.run(self.call_entry, self._new_client())
 
     @abc.abstractmethod
-    async def call_entry(self, entry: client.OperatorsClient) -> exitstatus.ExitStatus:
-        """Do the command's work against an entry."""
-
-    def _client(self) -> client.OperatorsClient:
-        variables = self.env.variables
-        url = self.option("entry-url") or variables.get(definitions.ENTRY_URL_VARIABLE)
-        token = variables.get(definitions.OPERATOR_TOKEN_VARIABLE, "")
-        authority = self.option("ca") or variables.get(definitions.CA_VARIABLE, "")
+    async def call_entry(self, entry_client: client.OperatorsClient) -> exitstatus.ExitStatus:
+        """Run the command against an entry.
+
+        :raises client.OperatorsClientError: when the entry refuses or cannot be reached
+        """
+
+    def _new_client(self) -> client.OperatorsClient:
+        environment_variables = self.env.variables
+        url = self.option("entry-url") or environment_variables.get(definitions.ENTRY_URL_VARIABLE)
+        token = environment_variables.get(definitions.OPERATOR_TOKEN_VARIABLE, "")
+        ca_file = self.option("ca") or environment_variables.get(definitions.CA_VARIABLE, "")
         if not token:
             raise command.UsageError(f"{definitions.OPERATOR_TOKEN_VARIABLE} is not set")
         return client.OperatorsClient(
-            (url or definitions.DEFAULT_ENTRY_URL).rstrip("/"), token, authority
+            (url or definitions.DEFAULT_ENTRY_URL).rstrip("/"), token, ca_file
         )
--- a/toucanhold/cli/platform.py
+++ b/toucanhold/cli/platform.py
@@ -15,24 +15,24 @@
 class PlatformEntryCommand(command.Command):
     """Run an entry on the users' platform."""
 
-    shown = definitions.PLATFORM_ENTRY
+    command_definition = definitions.PLATFORM_ENTRY
 
     def execute_command(self) -> exitstatus.ExitStatus:
-        """Check the settings file, then run."""
+        """Validate the settings file and run the entry until it stops."""
         try:
-            own = settings.load(self.env.variables)
+            platform_settings = settings.load(self.env.variables)
         except settings.SettingsError as error:
             self.fail(exitstatus.ExitStatus.USAGE, f"invalid settings: {error}")
             return exitstatus.ExitStatus.USAGE
         handler = logs.set_up_bounded(self.env.stdout, "info")
         try:
-            trio.run(_run, own, self.env.variables)
+            trio.run(_run, platform_settings, self.env.variables)
         finally:
             handler.close()
         return exitstatus.ExitStatus.OK
 
 
 async def _run(
-    own: settings.PlatformSettings, variables: collections.abc.Mapping[str, str]
+    platform_settings: settings.PlatformSettings, variables: collections.abc.Mapping[str, str]
 ) -> None:
-    await entry.PlatformEntry(own, functools.partial(settings.load, variables)).run()
+    await entry.PlatformEntry(platform_settings, functools.partial(settings.load, variables)).run()
--- a/toucanhold/cli/queries.py
+++ b/toucanhold/cli/queries.py
@@ -1,4 +1,4 @@
-"""Commands that only ask."""
+"""Commands that query an entry without changing anything."""
 
 import json
 import ssl
@@ -14,34 +14,34 @@
 CALL_TIMEOUT_S = 5.0
 
 
-class StatusCommand(operating.OperatorCommand):
-    """Show the system's state."""
+class StatusCommand(operating.OperatorsApiCommand):
+    """Show the state of the system."""
 
-    shown = definitions.STATUS
+    command_definition = definitions.STATUS
 
-    async def call_entry(self, entry: client.OperatorsClient) -> exitstatus.ExitStatus:
-        """See :class:`operating.OperatorCommand`."""
-        seen = await entry.status()
-        self.show(seen, text.status(seen))
+    async def call_entry(self, entry_client: client.OperatorsClient) -> exitstatus.ExitStatus:
+        """See :class:`operating.OperatorsApiCommand`."""
+        system_status = await entry_client.status()
+        self.print_result(system_status, text.status(system_status))
         return exitstatus.ExitStatus.OK
 
 
-class AddressesCommand(operating.OperatingCommand):
-    """Ask the directory."""
+class AddressesCommand(operating.ErrorMappingCommand):
+    """Query the callers' directory of an entry."""
 
-    shown = definitions.ADDRESSES
+    command_definition = definitions.ADDRESSES
 
     def execute_command(self) -> exitstatus.ExitStatus:
         """See :class:`command.Command`."""
         url = self.argument("url").rstrip("/") + app.ADDRESSES_PATH
         timeouts = dict.fromkeys(("connect", "write", "read", "pool"), CALL_TIMEOUT_S)
-        authority = self.option("ca") or self.env.variables.get(definitions.CA_VARIABLE)
-        context = ssl.create_default_context(cafile=authority or None)
+        ca_file = self.option("ca") or self.env.variables.get(definitions.CA_VARIABLE)
+        context = ssl.create_default_context(cafile=ca_file or None)
         try:
             with httpcore.ConnectionPool(ssl_context=context) as pool:
                 response = pool.request("GET", url, extensions={"timeout": timeouts})
             answer = json.loads(response.content)
-            lines = [
+            address_lines = [
                 f"{each['address']}  {each['availability_zone']}" for each in answer["addresses"]
             ]
         except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError) as error:
@@ -50,5 +50,5 @@
         except (ValueError, KeyError, TypeError):
             self.fail(exitstatus.ExitStatus.ERROR, f"{url}: not a directory's answer")
             return exitstatus.ExitStatus.ERROR
-        self.show(answer, [*lines, f"keep for {answer['keep_s']} s"])
+        self.print_result(answer, [*address_lines, f"keep for {answer['keep_s']} s"])
         return exitstatus.ExitStatus.OK
--- a/toucanhold/cli/running.py
+++ b/toucanhold/cli/running.py
@@ -11,38 +11,38 @@
 class EntryCommand(command.Command):
     """Run an entry."""
 
-    shown = definitions.ENTRY
+    command_definition = definitions.ENTRY
 
     def execute_command(self) -> exitstatus.ExitStatus:
-        """Check the settings, then run."""
+        """Validate the settings and run the entry until it stops."""
         names = [settings.flag_name(field) for field in attrs.fields(settings.EntrySettings)]
         flags = {name: self.option(name) for name in names}
         try:
-            own = settings.load(flags, self.env.variables)
+            entry_settings = settings.load(flags, self.env.variables)
         except settings.InvalidSettingsError as error:
             self.fail(exitstatus.ExitStatus.USAGE, error.message, *map(str, error.exceptions))
             return exitstatus.ExitStatus.USAGE
-        logs.set_up(self.env.stderr, own.log_format, own.log_level)
-        return self._run(own)
+        logs.set_up(self.env.stderr, entry_settings.log_format, entry_settings.log_level)
+        return self._run(entry_settings)
 
-    def _run(self, own: settings.EntrySettings) -> exitstatus.ExitStatus:
-        problems: list[BaseException] = []
+    def _run(self, entry_settings: settings.EntrySettings) -> exitstatus.ExitStatus:
+        errors: list[BaseException] = []
         try:
-            trio.run(_run_entry, own)
+            trio.run(_run_entry, entry_settings)
         except* (serving.ListenError, transport.TransportError) as group:
-            problems += _leaves(group)
-        if not problems:
+            errors += _flatten(group)
+        if not errors:
             return exitstatus.ExitStatus.OK
-        self.fail(exitstatus.ExitStatus.UNAVAILABLE, *map(str, problems))
+        self.fail(exitstatus.ExitStatus.UNAVAILABLE, *map(str, errors))
         return exitstatus.ExitStatus.UNAVAILABLE
 
 
-async def _run_entry(own: settings.EntrySettings) -> None:
-    await entry.EntryApplication(own, outside.from_settings(own)).run()
+async def _run_entry(entry_settings: settings.EntrySettings) -> None:
+    await entry.EntryApplication(entry_settings, outside.from_settings(entry_settings)).run()
 
 
-def _leaves(group: BaseExceptionGroup) -> list[BaseException]:
-    found: list[BaseException] = []
+def _flatten(group: BaseExceptionGroup) -> list[BaseException]:
+    flattened: list[BaseException] = []
     for error in group.exceptions:
-        found += _leaves(error) if isinstance(error, BaseExceptionGroup) else [error]
-    return found
+        flattened += _flatten(error) if isinstance(error, BaseExceptionGroup) else [error]
+    return flattened
--- a/toucanhold/cli/waiting.py
+++ b/toucanhold/cli/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting with an operator until a change has its effect."""
+"""Polls the status of an entry until a change has taken effect."""
 
 import collections.abc
 
@@ -13,23 +13,28 @@
 Predicate = collections.abc.Callable[[messages.StatusAnswer], bool]
 
 
-async def wait_until(
-    asked: command.Command,
-    entry: client.OperatorsClient,
-    done: Predicate,
+async def wait_for_status(
+    operator_command: command.Command,
+    entry_client: client.OperatorsClient,
+    is_done: Predicate,
     describe: Describe,
     timeout_s: float,
 ) -> messages.StatusAnswer | None:
-    """Poll the status until ``done``, telling each change; None when the time is over."""
-    told = ""
+    """Poll the status until it satisfies a predicate, and print each change of its description.
+
+    :param is_done: whether the status is the one waited for
+    :param describe: returns a line that describes the status
+    :return: the status that satisfied the predicate; None after ``timeout_s``
+    """
+    last_line = ""
     with trio.move_on_after(timeout_s):
         while True:
-            seen = await entry.status()
-            line = describe(seen)
-            if line != told:
-                asked.progress(line)
-                told = line
-            if done(seen):
-                return seen
+            system_status = await entry_client.status()
+            line = describe(system_status)
+            if line != last_line:
+                operator_command.print_progress(line)
+                last_line = line
+            if is_done(system_status):
+                return system_status
             await trio.sleep(POLL_INTERVAL_S)
     return None
