--- a/toucanhold/callers/app.py
+++ b/toucanhold/callers/app.py
@@ -185,14 +185,14 @@
         query = dict(urllib.parse.parse_qsl(scope["query_string"].decode("latin-1")))
         host, port = scope.get("client") or ("", 0)
         caller = query.get("caller") or f"{host}:{port}"
-        found = self.directory.lookup(caller, query.get("availability_zone", ""))
-        if not found["addresses"]:
+        addresses_response = self.directory.lookup(caller, query.get("availability_zone", ""))
+        if not addresses_response["addresses"]:
             # A caller that cached an empty list would have no entry to use until it expired.
             detail = "no entry is known that takes requests; ask another"
             raise reading.new_refusal(
                 requests.Problem.NOT_READY, detail, reading.NOT_READY_RETRY_AFTER_S
             )
-        return found
+        return addresses_response
 
     def _models_body(self) -> dict:
         services = self.configuration.current.rules.services
--- a/toucanhold/callers/directory.py
+++ b/toucanhold/callers/directory.py
@@ -74,7 +74,7 @@
             return False
         # The platform's list drops a dead entry only when its lease expires, and not at all during
         # a platform outage, so entries without a peer stream are left out here. An entry without
-        # any peer stream is itself partitioned and leaves nobody out.
+        # any peer stream is itself partitioned and leaves no entry out.
         disconnected_since_s = self._disconnected_since_s.get(member.entry)
         is_unreachable = (
             disconnected_since_s is not None
--- a/toucanhold/cli/zones.py
+++ b/toucanhold/cli/zones.py
@@ -55,4 +55,6 @@
 
 
 def _running(seen: messages.StatusAnswer, zone: str) -> int:
-    return sum(each.running for each in seen.zones if each.availability_zone == zone)
+    return sum(
+        zone_status.running for zone_status in seen.zones if zone_status.availability_zone == zone
+    )
--- a/toucanhold/operators/app.py
+++ b/toucanhold/operators/app.py
@@ -43,7 +43,7 @@
     :ivar tokens: accepted bearer tokens; compared in constant time
     """
 
-    changes: changes.ChangeCoordinator
+    change_coordinator: changes.ChangeCoordinator
     configuration: holder.ConfigurationHolder
     status: status.StatusComposer
     previewer: preview.Previewer
@@ -122,7 +122,7 @@
 
     async def _apply(self, request: messages.ApplyRequest) -> messages.ChangeAnswer:
         _validate(request.document)
-        change = self.changes.apply(request.document, request.expected, request.author)
+        change = self.change_coordinator.apply(request.document, request.expected, request.author)
         try:
             return await _translate_store_errors(change)
         except _OperatorError as error:
@@ -133,7 +133,7 @@
     async def _add_differences(
         self, answer: messages.ErrorAnswer, expected: int
     ) -> messages.ErrorAnswer:
-        differences = await self.changes.differences_since(expected)
+        differences = await self.change_coordinator.differences_since(expected)
         return attrs.evolve(answer, differences=differences[:DIFFERENCES_LIMIT])
 
     async def _set_zone(self, zone: str, request: messages.ZoneRequest) -> messages.ChangeAnswer:
@@ -144,11 +144,15 @@
         if zone not in known_zones:
             raise _error(404, "unknown-availability-zone", f"no availability zone {zone!r}")
         if not request.out:
-            return await _translate_store_errors(self.changes.return_zone(zone, request.author))
+            return await _translate_store_errors(
+                self.change_coordinator.return_zone(zone, request.author)
+            )
         if not known_zones[zone].drainable and not request.force:
             detail = f"the rules say that {zone!r} may not be drained; force overrides them"
             raise _error(409, "not-drainable", detail)
-        return await _translate_store_errors(self.changes.take_zone_out(zone, request.author))
+        return await _translate_store_errors(
+            self.change_coordinator.take_zone_out(zone, request.author)
+        )
 
 
 def _validate(new_document: document.Document) -> None:
--- a/toucanhold/operators/changes.py
+++ b/toucanhold/operators/changes.py
@@ -120,10 +120,12 @@
     def _not_in_force(self, configuration_number: int, hold: str) -> set[str]:
         entries = [member.entry for member in self.roster.members()]
         return {
-            entry for entry in entries if not self._has_in_force(entry, configuration_number, hold)
+            entry
+            for entry in entries
+            if not self._is_in_force_on(entry, configuration_number, hold)
         }
 
-    def _has_in_force(self, entry: str, configuration_number: int, hold: str) -> bool:
+    def _is_in_force_on(self, entry: str, configuration_number: int, hold: str) -> bool:
         if entry == self.roster.own.entry:
             return configuration_number <= self.configuration.current.number
         fact = self.facts.get(entry)
