--- a/standins/entries.py
+++ b/standins/entries.py
@@ -13,7 +13,7 @@
 import trio
 
 from standins import memory
-from toucanhold import entry, keyring, outside, serving, settings
+from toucanhold import entry, external, keyring, serving, settings
 from toucanhold.backends import client
 from toucanhold.coordination import vms
 
@@ -158,7 +158,7 @@
         )
         return entry.EntryApplication(
             own,
-            outside.Outside(
+            external.Adapters(
                 platform=self.platform.client(name),
                 vm_list=vms.EmptyVmList(),
                 backends=self.backends,
--- a/tests/proof/site.py
+++ b/tests/proof/site.py
@@ -17,7 +17,7 @@
 
 from standins import memory
 from tests.proof import history, network, platform, servers
-from toucanhold import entry, keyring, outside, serving, settings
+from toucanhold import entry, external, keyring, serving, settings
 from toucanhold.coordination import vms
 from toucanhold.peers import transport
 
@@ -212,7 +212,7 @@
             directory_keep_s=0.5,
             seed=self.plan.seed,
         )
-        adapters = outside.Outside(
+        adapters = external.Adapters(
             platform=self.platform.client(name),
             vm_list=self.vm_list,
             backends=servers.MemoryBackends(self, name),
--- a/toucanhold/cli/running.py
+++ b/toucanhold/cli/running.py
@@ -3,7 +3,7 @@
 import attrs
 import trio
 
-from toucanhold import entry, exitstatus, logs, outside, serving, settings
+from toucanhold import entry, exitstatus, external, logs, serving, settings
 from toucanhold.cli import command, definitions
 from toucanhold.peers import transport
 
@@ -38,7 +38,7 @@
 
 
 async def _run_entry(own: settings.EntrySettings) -> None:
-    await entry.EntryApplication(own, outside.from_settings(own)).run()
+    await entry.EntryApplication(own, external.from_settings(own)).run()
 
 
 def _leaves(group: BaseExceptionGroup) -> list[BaseException]:
--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -9,7 +9,7 @@
 import attrs
 import trio
 
-from toucanhold import application, codec, events, gauges, metrics, outside, settings
+from toucanhold import application, codec, events, external, gauges, metrics, settings
 from toucanhold.callers import app as callers_app
 from toucanhold.callers import directory
 from toucanhold.callers import reading as callers_reading
@@ -39,7 +39,7 @@
     """Builds an entry's components from its settings and owns them."""
 
     settings: settings.EntrySettings
-    outside: outside.Outside
+    adapters: external.Adapters
     _stop_serving: trio.Event = attrs.field(factory=trio.Event, init=False)
     _servers_left: int = attrs.field(default=0, init=False)
     _all_served: trio.Event = attrs.field(factory=trio.Event, init=False)
@@ -50,9 +50,9 @@
         self.rng = own.new_rng()
         self.metrics = metrics.Metrics(own.entry)
         self.platform = rate_limit.RateLimitedClient(
-            self.outside.platform, own.platform_calls_per_s, 2 * own.platform_calls_per_s
+            self.adapters.platform, own.platform_calls_per_s, 2 * own.platform_calls_per_s
         )
-        self.backends = self.outside.backends
+        self.backends = self.adapters.backends
         self.configuration = holder.ConfigurationHolder()
         self.store = store.ConfigurationStore(self.platform)
         self.reader = reading.ConfigurationReader(self.store, self.configuration)
@@ -115,7 +115,7 @@
     async def clean_up(self) -> None:
         """See :class:`application.Application`."""
         with trio.CancelScope(shield=True, deadline=trio.current_time() + 1):
-            await self.outside.close()
+            await self.adapters.close()
         events.log(LOGGER, events.Event.ENTRY_STOPPED, entry=self.settings.entry)
 
     def _build_membership(self) -> None:
@@ -161,7 +161,7 @@
             handshake.Identity(own.entry, self.roster.own.boot),
             own.peers_address,
             own.peer_key,
-            self.outside.peers,
+            self.adapters.peers,
             self.exchange,
             self._peer_addresses,
             self.revisions.heartbeat,
@@ -199,7 +199,7 @@
             self.planner_lease,
             self.settings.entry,
             self.settings.peers_address,
-            peering.PeerProbe(self.exchange, self.outside.peers),
+            peering.PeerProbe(self.exchange, self.adapters.peers),
             self.roster.own.boot,
         )
         peering.StepDownResponder(self.exchange, self.planner)
@@ -290,7 +290,7 @@
         await nursery.start(self._serve_until_stop, app, address)
 
     async def _serve_until_stop(self, app, address: str, *, task_status) -> None:
-        await self.outside.server.serve(app, address, self._stop_serving, task_status=task_status)
+        await self.adapters.server.serve(app, address, self._stop_serving, task_status=task_status)
         self._servers_left -= 1
         if not self._servers_left:
             self._all_served.set()
@@ -298,7 +298,7 @@
     async def _watch_vm_list(self) -> None:
         while True:
             try:
-                self.view.platform_leaving = await self.outside.vm_list.read_leaving()
+                self.view.platform_leaving = await self.adapters.vm_list.read_leaving()
             except vms.VmListError as error:
                 LOGGER.debug("the list of VMs: %s", error)
             await trio.sleep(VM_LIST_INTERVAL_S * self.rng.uniform(0.8, 1.2))
--- a/toucanhold/outside.py
+++ b/toucanhold/external.py
@@ -1,4 +1,4 @@
-"""Everything an entry meets outside its own process, one adapter each."""
+"""Adapters to the systems that an entry depends on."""
 
 import attrs
 
@@ -9,8 +9,15 @@
 
 
 @attrs.frozen
-class Outside:
-    """The adapters; tests put small fakes in their place."""
+class Adapters:
+    """The adapters of one entry; tests replace them with fakes.
+
+    :ivar platform: the key-value service
+    :ivar vm_list: the platform's list of VMs
+    :ivar backends: client of the backend servers
+    :ivar peers: transport of streams to other entries
+    :ivar server: HTTP server of callers and operators
+    """
 
     platform: keyvalue.KeyValueClient
     vm_list: vms.VmList
@@ -19,14 +26,14 @@
     server: serving.HttpServer
 
     async def close(self) -> None:
-        """Release connections."""
+        """Close the connections to the key-value service and to the backend servers."""
         await self.platform.close()
         await self.backends.close()
 
 
-def from_settings(own: settings.EntrySettings) -> Outside:
-    """Return the adapters to the real systems."""
-    return Outside(
+def from_settings(own: settings.EntrySettings) -> Adapters:
+    """Return the production adapters."""
+    return Adapters(
         platform=etcd.EtcdClient(own.platform_url, own.entry),
         vm_list=vms.HttpVmList(own.vm_list_url) if own.vm_list_url else vms.EmptyVmList(),
         backends=http.HttpBackendClient(),
