--- a/toucanhold/backends/http.py
+++ b/toucanhold/backends/http.py
@@ -9,7 +9,7 @@
 import httpcore
 import trio
 
-from toucanhold import codec, refusals
+from toucanhold import codec, connection_errors
 from toucanhold.backends import client, pacing, pool
 
 REPORT_PATH = "/v1/load"
@@ -264,7 +264,7 @@
     try:
         yield
     except CONNECT_ERRORS as error:
-        if refusals.is_refusal(error):
+        if connection_errors.is_connection_refused(error):
             raise client.RefusedError(f"{address}: nothing listens there") from error
         raise client.NotSentError(f"{address}: cannot connect: {error!r}") from error
     except TRANSFER_ERRORS as error:
--- a/toucanhold/coordination/mirror.py
+++ b/toucanhold/coordination/mirror.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from toucanhold import clock, events, waking
+from toucanhold import clock, events, notifier
 from toucanhold.coordination import keyvalue
 
 # Batches of changes kept for entries that follow this mirror. At most about ten batches arrive per
@@ -80,7 +80,7 @@
     items: dict[str, keyvalue.Item] = attrs.field(factory=dict, init=False)
     revision: int = attrs.field(default=0, init=False)
     sync_status: SyncStatus = attrs.field(factory=SyncStatus, init=False)
-    changed: waking.Signal = attrs.field(factory=waking.Signal, init=False)
+    changed: notifier.Notifier = attrs.field(factory=notifier.Notifier, init=False)
     _history: collections.deque[Changes] = attrs.field(
         factory=lambda: collections.deque(maxlen=HISTORY_BATCHES), init=False
     )
@@ -159,7 +159,7 @@
             events.Event.PLATFORM_BACK if sync_status.is_answering else events.Event.PLATFORM_LOST
         )
         events.log(LOGGER, event, source=source, reason=reason, revision=self.revision)
-        self.changed.wake()
+        self.changed.notify_all()
 
     def _put(self, item: keyvalue.Item) -> bool:
         # Later pages of a full read may include changes after the read's revision. The changes that
@@ -182,4 +182,4 @@
             matching_keys = frozenset(key for key in keys if key.startswith(prefix))
             if matching_keys:
                 listener(matching_keys)
-        self.changed.wake()
+        self.changed.notify_all()
--- a/toucanhold/gateway/exchange.py
+++ b/toucanhold/gateway/exchange.py
@@ -19,7 +19,7 @@
 import attrs
 import trio
 
-from toucanhold import waking
+from toucanhold import notifier
 from toucanhold.gateway import crashes, entries, findings, hierarchy, load, notices
 
 REPORT_INTERVAL_S = 0.1
@@ -56,7 +56,7 @@
     crashes: crashes.CrashMemory
     on_silent: collections.abc.Callable[[str, str], None]
     rng: random.Random
-    _urgent: waking.Signal = attrs.field(factory=waking.Signal, init=False)
+    _urgent: notifier.Notifier = attrs.field(factory=notifier.Notifier, init=False)
     _is_urgent: bool = attrs.field(default=False, init=False)
     _findings: findings.Findings = attrs.field(factory=findings.Findings, init=False)
     _aggregators: dict[str, list[entries.Entry]] = attrs.field(factory=dict, init=False)
@@ -255,7 +255,7 @@
 
     def _wake(self) -> None:
         self._is_urgent = True
-        self._urgent.wake()
+        self._urgent.notify_all()
 
     def _warn(self, key: str, text: str) -> None:
         # Once a sender: a peer in a loop must not fill the log.
--- a/toucanhold/planning/peering.py
+++ b/toucanhold/planning/peering.py
@@ -3,7 +3,7 @@
 import attrs
 import trio
 
-from toucanhold import refusals
+from toucanhold import connection_errors
 from toucanhold.observing import view
 from toucanhold.peers import exchange, messages, transport
 from toucanhold.planning import planner, terms
@@ -60,7 +60,7 @@
             with trio.fail_after(CONNECT_TIMEOUT_S):
                 stream = await self.transport.connect(term.peers_address)
         except transport.TransportError as error:
-            return refusals.is_refusal(error)
+            return connection_errors.is_connection_refused(error)
         except trio.TooSlowError:
             return False
         await trio.aclose_forcefully(stream)
--- a/toucanhold/platform/servers.py
+++ b/toucanhold/platform/servers.py
@@ -11,7 +11,7 @@
 import httpcore
 import trio
 
-from toucanhold import refusals
+from toucanhold import connection_errors
 from toucanhold.backends import pacing
 from toucanhold.gateway import calls
 from toucanhold.platform import headers, registrations
@@ -150,7 +150,9 @@
     try:
         stream = await pacing.connect(host, int(port), timeout_s, _no_pause)
     except CONNECT_ERRORS as error:
-        is_gone = refusals.is_refusal(error) or isinstance(error, httpcore.ConnectTimeout)
+        is_gone = connection_errors.is_connection_refused(error) or isinstance(
+            error, httpcore.ConnectTimeout
+        )
         raise calls.NotRunError(f"{address}: cannot connect: {error!r}", is_gone) from error
     return httpcore.AsyncHTTP11Connection(origin, stream)
 
--- a/toucanhold/replicas/driver.py
+++ b/toucanhold/replicas/driver.py
@@ -7,7 +7,7 @@
 import attrs
 import trio
 
-from toucanhold import events, waking
+from toucanhold import events, notifier
 from toucanhold.registry import registry, servers
 from toucanhold.replicas import ordering, orders, plan, records
 
@@ -46,7 +46,7 @@
     plan: plan.Plan
     known: registry.Registry
     orderer: ordering.Orderer
-    news: waking.Signal
+    news: notifier.Notifier
     stall_s: float
     _begun_s: float = attrs.field(factory=trio.current_time, init=False)
     _ordered_s: dict[str, float] = attrs.field(factory=dict, init=False)
--- a/toucanhold/replicas/planner.py
+++ b/toucanhold/replicas/planner.py
@@ -9,7 +9,7 @@
 import attrs
 import trio
 
-from toucanhold import events, waking
+from toucanhold import events, notifier
 from toucanhold.coordination import lease, mirror
 from toucanhold.registry import registry, servers
 from toucanhold.replicas import (
@@ -61,7 +61,7 @@
     stall_s: float
     orderer: ordering.Orderer = attrs.field(init=False)
     prober: probing.Prober = attrs.field(init=False)
-    _news: waking.Signal = attrs.field(factory=waking.Signal, init=False)
+    _news: notifier.Notifier = attrs.field(factory=notifier.Notifier, init=False)
     _driven: set[str] = attrs.field(factory=set, init=False)
     _prepared_s: dict[tuple[str, int], float] = attrs.field(factory=dict, init=False)
     _last_arrival_s: float = attrs.field(default=0.0, init=False)
@@ -74,10 +74,10 @@
     def __attrs_post_init__(self) -> None:
         """Follow what the planner decides from."""
         self.orderer = ordering.Orderer(self.engines, self.known, self._fence)
-        self.prober = probing.Prober(self.board, self.known, self.orderer, self._news.wake)
-        self.known.listen(self._news.wake)
-        self.source.add_listener(records.GROUPS_PREFIX, lambda keys: self._news.wake())
-        self.source.add_listener(plan.PLANNER_KEY, lambda keys: self._news.wake())
+        self.prober = probing.Prober(self.board, self.known, self.orderer, self._news.notify_all)
+        self.known.listen(self._news.notify_all)
+        self.source.add_listener(records.GROUPS_PREFIX, lambda keys: self._news.notify_all())
+        self.source.add_listener(plan.PLANNER_KEY, lambda keys: self._news.notify_all())
 
     def may_act(self) -> bool:
         """Tell whether this entry is the planner and has seen all that was written before."""
@@ -86,7 +86,7 @@
     def suspect(self, server_id: str) -> None:
         """Take note that a head has fallen silent, seen by this or another entry."""
         self.prober.suspect(server_id)
-        self._news.wake()
+        self._news.notify_all()
 
     async def run(self) -> None:
         """Plan until cancelled."""
