--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -146,7 +146,7 @@
             return
         try:
             body = await asgi.read_body(receive, 1_000_000)
-        except asgi.ClientGoneError:
+        except asgi.ClientDisconnectedError:
             return
         if not self.server.is_reached:
             return
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -37,7 +37,7 @@
 
     def test_two_entries_in_one_process_do_not_mix(self):
         first, second = metrics.Metrics("entry-0"), metrics.Metrics("entry-1")
-        first.observe("toucanhold.test", "1", "a test", lambda: [(7, {})])
+        first.add_gauge("toucanhold.test", "1", "a test", lambda: [(7, {})])
         self.assertIn(b"toucanhold_test 7.0", first.exposition())
         self.assertNotIn(b"toucanhold_test", second.exposition())
 
--- a/tools/capacity/state.py
+++ b/tools/capacity/state.py
@@ -53,7 +53,7 @@
 
 def sample_configuration(vms: int) -> snapshot.Configuration:
     """Return the configuration of a fleet, decoded from its parts."""
-    bodies = snapshot.bodies_of(sample_document(vms))
+    bodies = snapshot.encode_parts(sample_document(vms))
     parts = {name: snapshot.Part(name, 1, body) for name, body in bodies.items()}
     return snapshot.from_parts(1, parts)
 
@@ -75,12 +75,12 @@
 
 def configuration_bytes(vms: int) -> float:
     """Bytes of the whole configuration in the key-value service."""
-    return sum(len(body) for body in snapshot.bodies_of(sample_document(vms)).values())
+    return sum(len(body) for body in snapshot.encode_parts(sample_document(vms)).values())
 
 
 def largest_part_bytes(vms: int) -> float:
     """Bytes of the largest value in the key-value service."""
-    return max(len(body) for body in snapshot.bodies_of(sample_document(vms)).values())
+    return max(len(body) for body in snapshot.encode_parts(sample_document(vms)).values())
 
 
 def configuration_memory_kb(vms: int) -> float:
@@ -104,7 +104,7 @@
 def check_ms(vms: int) -> float:
     """Processor time to check a whole document."""
     checked = sample_document(vms)
-    return _cpu_ms(lambda: document.check(checked))
+    return _cpu_ms(lambda: document.validate(checked))
 
 
 def view_memory_kb(vms: int) -> float:
--- a/toucanhold/asgi.py
+++ b/toucanhold/asgi.py
@@ -14,7 +14,7 @@
     """A request body exceeds its limit."""
 
 
-class ClientGoneError(Exception):
+class ClientDisconnectedError(Exception):
     """The client closed its connection before its request was whole."""
 
 
@@ -27,13 +27,13 @@
 
     :param grow: told the number of bytes that have arrived; may raise
     :raises BodyTooLargeError: as soon as it exceeds ``limit_bytes``
-    :raises ClientGoneError: when it ends early
+    :raises ClientDisconnectedError: when it ends early
     """
     body = bytearray()
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise ClientGoneError
+            raise ClientDisconnectedError
         chunk = message.get("body", b"")
         body += chunk
         if len(body) > limit_bytes:
--- a/toucanhold/callers/app.py
+++ b/toucanhold/callers/app.py
@@ -99,7 +99,7 @@
             with self.bodies.hold() as held:
                 request = await self.reader.read(scope, receive, request_id, held)
                 await self._answer(request, receive, send)
-        except asgi.ClientGoneError:
+        except asgi.ClientDisconnectedError:
             return
         except requests.RequestError as error:
             _log_error(request_id, error)
--- a/toucanhold/callers/measuring.py
+++ b/toucanhold/callers/measuring.py
@@ -35,7 +35,7 @@
         elif message["type"] == "http.response.body":
             self._ended = not message.get("more_body", False)
             if self._streams and message["body"]:
-                self.timer.note_events(message["body"].count(EVENT_START))
+                self.timer.record_events(message["body"].count(EVENT_START))
         await self.send(message)
 
     def finish(self) -> None:
--- a/toucanhold/callers/reading.py
+++ b/toucanhold/callers/reading.py
@@ -62,7 +62,7 @@
         """Return the typed request.
 
         :raises requests.RequestError: when it is not one
-        :raises asgi.ClientGoneError: when its caller left before it was whole
+        :raises asgi.ClientDisconnectedError: when its caller left before it was whole
         """
         refusal = self.permit.refusal()
         if refusal is not None:
--- a/toucanhold/cli/documents.py
+++ b/toucanhold/cli/documents.py
@@ -20,7 +20,7 @@
     def execute_command(self) -> exitstatus.ExitStatus:
         """See :class:`command.Command`."""
         checked = document.load(pathlib.Path(self.argument("file")))
-        self.show(checked, text.check(checked))
+        self.show(checked, text.validation_summary(checked))
         return exitstatus.ExitStatus.OK
 
 
@@ -90,7 +90,7 @@
             asked,
             entry,
             lambda seen: not text.entries_behind(seen, number),
-            functools.partial(text.in_force, number=number),
+            functools.partial(text.rollout_progress, number=number),
             wait_s,
         )
         if done is None:
--- a/toucanhold/clock.py
+++ b/toucanhold/clock.py
@@ -24,14 +24,14 @@
         # The monotonic clock stands still while the VM is suspended: after an hour of it, what was
         # read before would look a second old. A VM that its host froze without telling it sees
         # that on no clock; its streams, which the peers have ended, still show it within seconds.
-        now = read()
-        return now.monotonic_s - self.monotonic_s + now.suspended_s - self.suspended_s
+        current = now()
+        return current.monotonic_s - self.monotonic_s + current.suspended_s - self.suspended_s
 
 
-LONG_AGO = Instant(float("-inf"))
+DISTANT_PAST = Instant(float("-inf"))
 
 
-def read() -> Instant:
+def now() -> Instant:
     """Return the present moment."""
     boot_s = time.clock_gettime(time.CLOCK_BOOTTIME)
     return Instant(trio.current_time(), boot_s - time.clock_gettime(time.CLOCK_MONOTONIC))
--- a/toucanhold/configuration/difference.py
+++ b/toucanhold/configuration/difference.py
@@ -57,7 +57,7 @@
     return tuple(sorted(differences, key=lambda each: (each.kind.value, each.name)))
 
 
-def since(number: int, new: snapshot.Configuration) -> tuple[Difference, ...]:
+def parts_changed_since(number: int, new: snapshot.Configuration) -> tuple[Difference, ...]:
     """Return the parts that have changed since ``number``, where no more is known."""
     names = sorted(part.name for part in new.parts.values() if part.number > number)
     return tuple(Difference(Kind.PART, name, Change.CHANGED) for name in names)
--- a/toucanhold/configuration/document.py
+++ b/toucanhold/configuration/document.py
@@ -79,11 +79,11 @@
     except codec.CodecError as error:
         mistakes = [_shape_error(text) for text in str(error).split("; ")]
         raise InvalidDocumentError("wrong shape", mistakes) from error
-    check(document)
+    validate(document)
     return document
 
 
-def check(document: Document) -> None:
+def validate(document: Document) -> None:
     """Check that a document is consistent.
 
     :raises InvalidDocumentError: naming every mistake
--- a/toucanhold/configuration/holder.py
+++ b/toucanhold/configuration/holder.py
@@ -63,7 +63,7 @@
         )
         return True
 
-    def former(self, number: int) -> snapshot.Configuration | None:
+    def find_accepted(self, number: int) -> snapshot.Configuration | None:
         """Return an accepted configuration of the last few, the present one among them."""
         known = (*self._former, self.accepted)
         return next((each for each in known if each.number == number), None)
--- a/toucanhold/configuration/reading.py
+++ b/toucanhold/configuration/reading.py
@@ -16,15 +16,15 @@
 class ConfigurationReader:
     """Reads what changed since it last read.
 
-    :ivar confirmed: when the latest read that was answered had been sent: the configuration in
+    :ivar confirmed_at: when the latest read that was answered had been sent: the configuration in
         force here is at least as late as this moment
-    :ivar unreadable: highest number that this version of the program could not read
+    :ivar highest_unreadable: highest number that this version of the program could not read
     """
 
     store: store.ConfigurationStore
     configuration: holder.ConfigurationHolder
-    confirmed: clock.Instant = clock.LONG_AGO
-    unreadable: int = 0
+    confirmed_at: clock.Instant = clock.DISTANT_PAST
+    highest_unreadable: int = 0
     _known_revision: int = attrs.field(default=0, init=False)
     _last_problem: str = attrs.field(default="", init=False)
 
@@ -33,7 +33,7 @@
 
         :raises keyvalue.KeyValueError: when the service does not answer
         """
-        sent, known_revision = clock.read(), self._known_revision
+        sent, known_revision = clock.now(), self._known_revision
         try:
             delta, revision = await self.store.read_delta(
                 self.configuration.accepted.number, known_revision
@@ -41,19 +41,19 @@
             self.configuration.apply(delta, SOURCE)
         except snapshot.SnapshotError as error:
             # What cannot be read must neither end the entry nor replace what is in force.
-            self.note_unreadable(SOURCE, error)
-            self.confirmed = sent
+            self.record_unreadable(SOURCE, error)
+            self.confirmed_at = sent
             return known_revision
         # A service that was restored from a copy counts from an earlier revision again; reading
         # on from the known one would return nothing for a long time.
         restored = revision < known_revision
         self._known_revision = 0 if restored else max(revision, self._known_revision)
-        self.confirmed = sent
+        self.confirmed_at = sent
         return revision
 
-    def note_unreadable(self, source: str, error: snapshot.SnapshotError) -> None:
+    def record_unreadable(self, source: str, error: snapshot.SnapshotError) -> None:
         """Log a configuration that could not be read, once for each mistake."""
-        self.unreadable = max(self.unreadable, error.number)
+        self.highest_unreadable = max(self.highest_unreadable, error.number)
         if str(error) != self._last_problem:
             self._last_problem = str(error)
             events.log(
--- a/toucanhold/configuration/snapshot.py
+++ b/toucanhold/configuration/snapshot.py
@@ -158,7 +158,7 @@
     return {RULES_PART: rules.Rules, ZONES_PART: ZonesOut}.get(name)
 
 
-def bodies_of(wanted: document.Document) -> dict[str, bytes]:
+def encode_parts(wanted: document.Document) -> dict[str, bytes]:
     """Return the part bodies of a document; the inventory is split by availability zone."""
     by_zone: dict[str, list[inventory.Vm]] = collections.defaultdict(list)
     for vm in sorted(wanted.inventory.vms, key=lambda vm: vm.vm):
--- a/toucanhold/configuration/store.py
+++ b/toucanhold/configuration/store.py
@@ -38,7 +38,7 @@
     """Another operator's change came first; nothing of this one took effect."""
 
 
-class NotAcceptedError(StoreError):
+class ServiceUnavailableError(StoreError):
     """The key-value service could not be asked; nothing took effect."""
 
 
@@ -116,7 +116,7 @@
                 raise ConflictError(
                     f"configuration {expected} was expected, {current.number} is accepted"
                 )
-            bodies = snapshot.bodies_of(wanted)
+            bodies = snapshot.encode_parts(wanted)
             gone = {
                 name: b""
                 for name, part in current.parts.items()
@@ -188,7 +188,7 @@
         try:
             result = await self.client.read(PREFIX)
         except keyvalue.KeyValueError as error:
-            raise NotAcceptedError(f"nothing was changed: {error}") from error
+            raise ServiceUnavailableError(f"nothing was changed: {error}") from error
         try:
             return _current(result)
         except snapshot.SnapshotError as error:
@@ -203,7 +203,7 @@
         try:
             return (await self.client.commit([condition], writes)).succeeded
         except keyvalue.UnavailableError as error:
-            raise NotAcceptedError(f"nothing was changed: {error}") from error
+            raise ServiceUnavailableError(f"nothing was changed: {error}") from error
         except keyvalue.IndeterminateError:
             return await self._read_back(head, head_revision)
 
--- a/toucanhold/coordination/lease.py
+++ b/toucanhold/coordination/lease.py
@@ -37,7 +37,7 @@
     is_contended: bool = attrs.field(default=True, kw_only=True)
     fencing: int = 0
     _lease: int = attrs.field(default=0, init=False)
-    _renewed_at: clock.Instant = attrs.field(default=clock.LONG_AGO, init=False)
+    _renewed_at: clock.Instant = attrs.field(default=clock.DISTANT_PAST, init=False)
     _is_released: bool = attrs.field(default=False, init=False)
 
     def is_held(self) -> bool:
@@ -105,7 +105,7 @@
         return item is not None and item.lease != self._lease
 
     async def _renew(self, fencing: int | None = None) -> None:
-        renewal_sent_at = clock.read()
+        renewal_sent_at = clock.now()
         if await self.client.keep_alive(self._lease):
             self._renewed_at = renewal_sent_at
             self.fencing = fencing or self.fencing
--- a/toucanhold/coordination/mirror.py
+++ b/toucanhold/coordination/mirror.py
@@ -62,9 +62,9 @@
     :ivar last_failure_at: when a call last failed
     """
 
-    confirmed_at: clock.Instant = clock.LONG_AGO
+    confirmed_at: clock.Instant = clock.DISTANT_PAST
     is_answering: bool = False
-    last_failure_at: clock.Instant = clock.LONG_AGO
+    last_failure_at: clock.Instant = clock.DISTANT_PAST
 
 
 @attrs.define(eq=False)
--- a/toucanhold/coordination/watching.py
+++ b/toucanhold/coordination/watching.py
@@ -80,7 +80,7 @@
                 continue
             except keyvalue.KeyValueError as error:
                 failed_status = attrs.evolve(
-                    self.mirror.sync_status, is_answering=False, last_failure_at=clock.read()
+                    self.mirror.sync_status, is_answering=False, last_failure_at=clock.now()
                 )
                 self.mirror.update_sync_status(failed_status, SERVICE_NAME, str(error))
             # Jitter keeps the entries from calling all at once when the service recovers.
@@ -111,7 +111,7 @@
             # The outage may have ended only now. Counting from the last failed call would leave too
             # little time for registrations that expired in the outage to be renewed, and none at
             # all where the calls were seconds apart.
-            sync_status = attrs.evolve(sync_status, last_failure_at=clock.read())
+            sync_status = attrs.evolve(sync_status, last_failure_at=clock.now())
         if is_current:
-            sync_status = attrs.evolve(sync_status, confirmed_at=clock.read())
+            sync_status = attrs.evolve(sync_status, confirmed_at=clock.now())
         self.mirror.update_sync_status(sync_status, SERVICE_NAME)
--- a/toucanhold/gauges.py
+++ b/toucanhold/gauges.py
@@ -24,26 +24,26 @@
     name: str
     unit: str
     description: str
-    read: collections.abc.Callable[[entries.EntryApplication], metrics.Observed]
+    read: collections.abc.Callable[[entries.EntryApplication], metrics.Observations]
 
 
 def register(entry: entries.EntryApplication) -> None:
     """Add the gauges and totals of ``entry`` to its metrics."""
     for gauge in GAUGES:
         read = functools.partial(gauge.read, entry)
-        entry.metrics.observe(gauge.name, gauge.unit, gauge.description, read)
+        entry.metrics.add_gauge(gauge.name, gauge.unit, gauge.description, read)
     for total in TOTALS:
         read = functools.partial(total.read, entry)
-        entry.metrics.count(total.name, total.unit, total.description, read)
+        entry.metrics.add_counter(total.name, total.unit, total.description, read)
 
 
-def _serving(entry: entries.EntryApplication) -> metrics.Observed:
+def _serving(entry: entries.EntryApplication) -> metrics.Observations:
     now_s = trio.current_time()
     for service in entry.configuration.current.rules.services:
         yield len(entry.finder.find(service, now_s)), {"toucanhold.service": service.name}
 
 
-def _wanted(entry: entries.EntryApplication) -> metrics.Observed:
+def _wanted(entry: entries.EntryApplication) -> metrics.Observations:
     configuration = entry.configuration.current
     for service in configuration.rules.services:
         wanted = service.replicas
@@ -52,7 +52,7 @@
         yield wanted, {"toucanhold.service": service.name}
 
 
-def _by_warmth(entry: entries.EntryApplication) -> metrics.Observed:
+def _by_warmth(entry: entries.EntryApplication) -> metrics.Observations:
     now_s = trio.current_time()
     counts: collections.Counter[str] = collections.Counter()
     for vm in entry.configuration.current.inventory.vms:
@@ -62,19 +62,19 @@
         yield count, {"toucanhold.warmth": warmth}
 
 
-def _platform_calls(entry: entries.EntryApplication) -> metrics.Observed:
+def _platform_calls(entry: entries.EntryApplication) -> metrics.Observations:
     for kind, count in entry.platform.calls.items():
         yield count, {"toucanhold.call": kind}
 
 
-def _refused_platform_calls(entry: entries.EntryApplication) -> metrics.Observed:
+def _refused_platform_calls(entry: entries.EntryApplication) -> metrics.Observations:
     for kind, count in entry.platform.refused.items():
         yield count, {"toucanhold.call": kind}
 
 
 def _single(
     value: collections.abc.Callable[[entries.EntryApplication], float],
-) -> collections.abc.Callable[[entries.EntryApplication], metrics.Observed]:
+) -> collections.abc.Callable[[entries.EntryApplication], metrics.Observations]:
     return lambda entry: [(value(entry), {})]
 
 
--- a/toucanhold/membership/permit.py
+++ b/toucanhold/membership/permit.py
@@ -48,9 +48,9 @@
     peer_numbers: PeerNumbers
     disconnect_peers: Callback
     rng: random.Random
-    _last_tick: clock.Instant = attrs.field(default=clock.LONG_AGO, init=False)
-    _last_majority: clock.Instant = attrs.field(default=clock.LONG_AGO, init=False)
-    _last_up_to_date: clock.Instant = attrs.field(default=clock.LONG_AGO, init=False)
+    _last_tick: clock.Instant = attrs.field(default=clock.DISTANT_PAST, init=False)
+    _last_majority: clock.Instant = attrs.field(default=clock.DISTANT_PAST, init=False)
+    _last_up_to_date: clock.Instant = attrs.field(default=clock.DISTANT_PAST, init=False)
     _logged_refusal: str | None = attrs.field(default=None, init=False)
     _is_polling: bool = attrs.field(default=False, init=False)
 
@@ -62,7 +62,7 @@
         # next tick.
         if self._last_tick.age_s() > MAX_TICK_GAP_S:
             return "the entry was paused and has not checked its configuration since"
-        if self.reader.confirmed.age_s() <= READ_VALID_S:
+        if self.reader.confirmed_at.age_s() <= READ_VALID_S:
             return None
         if self._last_majority.age_s() > MAJORITY_GRACE_S:
             return "neither the platform nor a majority of the entries can be reached"
@@ -76,18 +76,18 @@
 
     async def run(self) -> None:
         """Check peers and the configuration periodically until cancelled."""
-        self._last_tick = clock.read()
+        self._last_tick = clock.now()
         async with trio.open_nursery() as nursery:
             while True:
                 await trio.sleep(TICK_INTERVAL_S * self.rng.uniform(0.8, 1.2))
                 self._tick()
                 poll_s = POLL_INTERVAL_S * self.rng.uniform(0.8, 1.2)
-                if not self._has_majority() and self.reader.confirmed.age_s() > poll_s:
+                if not self._has_majority() and self.reader.confirmed_at.age_s() > poll_s:
                     nursery.start_soon(self._poll)
 
     def _tick(self) -> None:
         gap_s = self._last_tick.age_s()
-        self._last_tick = clock.read()
+        self._last_tick = clock.now()
         if gap_s > MAX_TICK_GAP_S:
             self._invalidate_confirmations(gap_s)
         elif self._has_majority():
@@ -101,7 +101,7 @@
         # for current ones. A new handshake answers a new challenge, so it must be current.
         events.log(LOGGER, events.Event.ENTRY_PAUSED, gap_s=round(gap_s, 3))
         self.disconnect_peers()
-        self.reader.confirmed = self._last_majority = self._last_up_to_date = clock.LONG_AGO
+        self.reader.confirmed_at = self._last_majority = self._last_up_to_date = clock.DISTANT_PAST
 
     def _has_majority(self) -> bool:
         expected_entries = {
@@ -115,7 +115,7 @@
     def _is_up_to_date(self) -> bool:
         # During a rolling upgrade a configuration that this version cannot read must not stop all
         # entries at once. The status shows which configuration is in force on which entry.
-        own = max(self.configuration.current.number, self.reader.unreadable)
+        own = max(self.configuration.current.number, self.reader.highest_unreadable)
         return own >= max(self.peer_numbers().values(), default=0)
 
     async def _poll(self) -> None:
--- a/toucanhold/metrics.py
+++ b/toucanhold/metrics.py
@@ -18,7 +18,7 @@
 FIRST_TOKEN_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 0.98, 1.25, 2.5, 5.0, 10.0)
 TOKEN_BUCKETS_S = (0.001, 0.0025, 0.005, 0.01, 0.02, 0.03, 0.04, 0.048, 0.06, 0.1, 0.25, 1.0)
 
-Observed = collections.abc.Iterable[tuple[float, dict[str, str]]]
+Observations = collections.abc.Iterable[tuple[float, dict[str, str]]]
 
 
 @attrs.define(eq=False)
@@ -56,8 +56,12 @@
             "gen_ai.server.time_per_output_token", "s", "Mean time between a stream's events"
         )
 
-    def observe(
-        self, name: str, unit: str, description: str, read: collections.abc.Callable[[], Observed]
+    def add_gauge(
+        self,
+        name: str,
+        unit: str,
+        description: str,
+        read: collections.abc.Callable[[], Observations],
     ) -> None:
         """Add a gauge that is read when a scraper asks.
 
@@ -69,8 +73,12 @@
 
         self._meter.create_observable_gauge(name, [callback], unit, description)
 
-    def count(
-        self, name: str, unit: str, description: str, read: collections.abc.Callable[[], Observed]
+    def add_counter(
+        self,
+        name: str,
+        unit: str,
+        description: str,
+        read: collections.abc.Callable[[], Observations],
     ) -> None:
         """Add a counter that is read when a scraper asks.
 
@@ -123,7 +131,7 @@
     last_event_at_s: float = math.inf
     events: int = 0
 
-    def note_events(self, count: int) -> None:
+    def record_events(self, count: int) -> None:
         """Count events of a stream that were passed on now."""
         now_s = trio.current_time()
         if not self.events:
--- a/toucanhold/operators/app.py
+++ b/toucanhold/operators/app.py
@@ -70,7 +70,7 @@
         except _OperatorError as error:
             body, code = codec.to_json(error.answer), error.status_code
             _log_refusal(scope, error)
-        except asgi.ClientGoneError:
+        except asgi.ClientDisconnectedError:
             return
         except Exception as error:
             # The server would answer with a bare 500, and the operator could not tell whether the
@@ -146,7 +146,7 @@
 
 def _check(wanted: document.Document) -> None:
     try:
-        document.check(wanted)
+        document.validate(wanted)
     except document.InvalidDocumentError as error:
         mistakes = tuple(str(mistake) for mistake in error.exceptions)
         answer = messages.ErrorAnswer("invalid", error.message, mistakes)
@@ -167,7 +167,7 @@
         return await change
     except store.ConflictError as error:
         raise _error(409, CONFLICT, str(error)) from error
-    except store.NotAcceptedError as error:
+    except store.ServiceUnavailableError as error:
         raise _error(503, "unavailable", str(error)) from error
     except store.UnreadableError as error:
         raise _error(500, "unreadable", str(error)) from error
--- a/toucanhold/operators/changes.py
+++ b/toucanhold/operators/changes.py
@@ -54,9 +54,9 @@
                 await self.refresh()
             except keyvalue.KeyValueError as error:
                 LOGGER.debug("differences of what this entry knows: %s", error)
-        current, seen = self.configuration.accepted, self.configuration.former(expected)
+        current, seen = self.configuration.accepted, self.configuration.find_accepted(expected)
         if seen is None:
-            return difference.since(expected, current)
+            return difference.parts_changed_since(expected, current)
         return difference.between(seen, current)
 
     async def take_out(self, zone: str, author: str) -> messages.ChangeAnswer:
--- a/toucanhold/output/text.py
+++ b/toucanhold/output/text.py
@@ -44,7 +44,7 @@
     yield from table(("GROUP", "SERVICE", "STATE", "MEMBERS"), map(_group_row, seen.groups))
 
 
-def check(checked: document.Document) -> Lines:
+def validation_summary(checked: document.Document) -> Lines:
     """Yield the size of a valid document."""
     rules = checked.rules
     yield (
@@ -80,7 +80,7 @@
         yield f"falls short: {each.service} gets {each.placed} of {each.wanted} replicas"
 
 
-def in_force(seen: messages.StatusAnswer, number: int) -> str:
+def rollout_progress(seen: messages.StatusAnswer, number: int) -> str:
     """Return how far configuration ``number`` has come."""
     behind = entries_behind(seen, number)
     total = len(seen.entries)
--- a/toucanhold/peers/revisions.py
+++ b/toucanhold/peers/revisions.py
@@ -113,7 +113,7 @@
         try:
             self.configuration.apply(message.delta, f"{SOURCE} {peer}")
         except snapshot.SnapshotError as error:
-            self.reader.note_unreadable(f"{SOURCE} {peer}", error)
+            self.reader.record_unreadable(f"{SOURCE} {peer}", error)
             if message.delta.base:
                 # Parts that do not fit together: ask for all of them.
                 self.exchange.send(peer, messages.ConfigurationAsk(0))
--- a/toucanhold/platform/front.py
+++ b/toucanhold/platform/front.py
@@ -66,7 +66,7 @@
 
     async def send(self, chunk: bytes) -> None:
         """See :class:`calls.Reply`."""
-        self.timer.note_events(1)
+        self.timer.record_events(1)
         self._record_chunk_time()
         with _shielded():
             await asgi.write(self.send_message, chunk, True)
@@ -108,7 +108,7 @@
         arrived_s = trio.current_time()
         try:
             body = await asgi.read_body(receive, BODY_LIMIT_BYTES)
-        except asgi.ClientGoneError:
+        except asgi.ClientDisconnectedError:
             return
         except asgi.BodyTooLargeError:
             await asgi.respond(send, 413, [(b"connection", b"close")], b"")
--- a/toucanhold/platform/gauges.py
+++ b/toucanhold/platform/gauges.py
@@ -13,29 +13,31 @@
 def register(entry: entries.PlatformEntry) -> None:
     """Register metrics of control traffic by kind, of queueing, and of the load data's age."""
 
-    def store_calls() -> metrics.Observed:
+    def store_calls() -> metrics.Observations:
         for kind, count in entry.store.calls.items():
             yield count, {"toucanhold.call": kind}
 
-    def notice_bytes() -> metrics.Observed:
+    def notice_bytes() -> metrics.Observations:
         for (kind, is_other_zone), count in entry.exchange.sent_bytes.items():
             zone = "other" if is_other_zone else "own"
             yield count, {"toucanhold.notice": kind.value, "toucanhold.zone": zone}
 
-    def requests_sent() -> metrics.Observed:
+    def requests_sent() -> metrics.Observations:
         for is_other_zone, count in entry.targets.placed.items():
             yield count, {"toucanhold.zone": "other" if is_other_zone else "own"}
 
-    def waiting() -> metrics.Observed:
+    def waiting() -> metrics.Observations:
         yield entry.gateway.admission.waiting, {}
 
-    def load_age() -> metrics.Observed:
+    def load_age() -> metrics.Observations:
         yield entry.exchange.digest_age_s, {}
 
-    entry.metrics.count("toucanhold.store.calls", "{call}", "Calls to the store", store_calls)
-    entry.metrics.count("toucanhold.notices.sent", "By", "Datagrams to other entries", notice_bytes)
-    entry.metrics.count(
+    entry.metrics.add_counter("toucanhold.store.calls", "{call}", "Calls to the store", store_calls)
+    entry.metrics.add_counter(
+        "toucanhold.notices.sent", "By", "Datagrams to other entries", notice_bytes
+    )
+    entry.metrics.add_counter(
         "toucanhold.requests.placed", "{request}", "Requests placed on servers", requests_sent
     )
-    entry.metrics.observe("toucanhold.requests.waiting", "{request}", "Waiting for room", waiting)
-    entry.metrics.observe("toucanhold.load.age", "s", "Age of the last load digest", load_age)
+    entry.metrics.add_gauge("toucanhold.requests.waiting", "{request}", "Waiting for room", waiting)
+    entry.metrics.add_gauge("toucanhold.load.age", "s", "Age of the last load digest", load_age)
--- a/toucanhold/relay/following.py
+++ b/toucanhold/relay/following.py
@@ -178,7 +178,7 @@
                     return
 
     def _apply_status(self, source: _SourceStream, status: messages.Status) -> None:
-        now = clock.read()
+        now = clock.now()
         sync_status = mirror.SyncStatus(
             _instant_before(now, status.confirmed_s),
             status.is_answering,
