--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded, and nobody waits for their reader."""
+"""Tests of the bounded log handler: it limits the number of lines and never blocks."""
 
 import json
 import logging
@@ -30,17 +30,17 @@
         logs.LOGGER.handlers.clear()
         self.reader.close()
 
-    def test_a_reader_that_does_not_read_holds_nobody_up(self):
-        """Guards against requests that wait for whoever reads the log."""
-        handler = self._handler(lines_per_s=1e9, lines=100)
-        began_s = time.monotonic()
+    def test_stalled_log_reader_does_not_block_logging(self):
+        """Guards against requests that wait until the reader of the log reads on."""
+        handler = self._handler(max_lines_per_s=1e9, max_queued_lines=100)
+        started_at_s = time.monotonic()
         for number in range(5000):
             events.log(self.logger, events.Event.SERVER_GONE, server="s" * 100, number=number)
-        self.assertLess(time.monotonic() - began_s, 5)
+        self.assertLess(time.monotonic() - started_at_s, 5)
         self.assertGreater(handler.dropped, 3000)
 
-    def test_a_flood_is_cut_to_its_rate_and_the_gap_is_told(self):
-        handler = self._handler(lines_per_s=50)
+    def test_excess_lines_are_dropped_and_counted(self):
+        handler = self._handler(max_lines_per_s=50)
         for number in range(500):
             events.log(self.logger, events.Event.SERVER_GONE, server="s", number=number)
         self.assertGreater(handler.dropped, 400)
@@ -51,5 +51,5 @@
         lines = [json.loads(line) for line in self.reader]
         self.assertLess(len(lines), 100)
         self.assertEqual("last", lines[-1]["server"])
-        told = sum(line["count"] for line in lines if line["name"] == "LINES_DROPPED")
-        self.assertEqual(501, told + sum(line["name"] == "SERVER_GONE" for line in lines))
+        dropped = sum(line["count"] for line in lines if line["name"] == "LINES_DROPPED")
+        self.assertEqual(501, dropped + sum(line["name"] == "SERVER_GONE" for line in lines))
--- a/toucanhold/logs.py
+++ b/toucanhold/logs.py
@@ -1,4 +1,4 @@
-"""Log output: JSON lines or a form for people, bounded and never waited for."""
+"""Log output as JSON lines or human-readable text, optionally bounded and non-blocking."""
 
 import json
 import logging
@@ -10,21 +10,21 @@
 from toucanhold import events
 
 LOG_FORMATS = ("json", "human")
-# Lines that wait for the reader of the output; at 400 bytes each, under a megabyte.
-QUEUE_LINES = 2000
-# An entry writes about three lines a request; this covers a hundred requests a second.
-LINES_PER_S = 400
-# How long the last lines of a process may take to be written.
+# Lines that wait to be written; at 400 bytes each they take less than 1 MB.
+MAX_QUEUED_LINES = 2000
+# An entry logs about three lines per request; this is enough for 100 requests per second.
+MAX_LINES_PER_S = 400
+# Time limit for writing the last lines of a process.
 FLUSH_TIMEOUT_S = 0.5
 
 LOGGER = logging.getLogger(__name__)
 
 
 class JsonFormatter(logging.Formatter):
-    """One JSON object a line."""
+    """Formats records as JSON objects, one per line."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Render ``record`` with its event number and fields."""
+        """Return ``record`` as JSON, with the number, name and fields of its event."""
         line = {
             "time": _timestamp(record),
             "severity": record.levelname,
@@ -41,10 +41,10 @@
 
 
 class HumanFormatter(logging.Formatter):
-    """Time, severity, event, message and fields in columns."""
+    """Formats records as text: time, severity, event number, message and fields."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Render ``record`` for a terminal."""
+        """Return ``record`` as one line of text, followed by the traceback if there is one."""
         event = getattr(record, "event", None)
         number = f"{event.number} " if event is not None else ""
         fields = " ".join(f"{key}={value}" for key, value in getattr(record, "fields", {}).items())
@@ -55,32 +55,38 @@
 
 
 class BoundedHandler(logging.Handler):
-    """Hands lines to a thread that writes them, and drops what is too much.
+    """Writes lines from a thread of its own, and drops lines above its rate and queue limits.
 
-    A reader that stops reading blocks whoever writes to it. Here that is a thread of its own; the
-    tasks that serve requests only put lines into a queue of bounded length, at a bounded rate.
+    Writing blocks when the reader of the output stops reading. Only the thread is blocked then;
+    the tasks that serve requests put lines into a bounded queue, at a rate that a token bucket
+    limits.
 
-    :ivar dropped: lines left out since the last line that told so
+    :param max_lines_per_s: refill rate and capacity of the token bucket
+    :param max_queued_lines: length of the queue
+    :ivar dropped: number of lines dropped since the last ``LINES_DROPPED`` event
     """
 
     def __init__(
-        self, stream: typing.TextIO, lines_per_s: float = LINES_PER_S, lines: int = QUEUE_LINES
+        self,
+        stream: typing.TextIO,
+        max_lines_per_s: float = MAX_LINES_PER_S,
+        max_queued_lines: int = MAX_QUEUED_LINES,
     ) -> None:
         super().__init__()
         self.dropped = 0
-        self._lines_per_s = lines_per_s
-        self._allowed = lines_per_s
-        self._filled_at_s = time.monotonic()
-        self._queue: queue.Queue[str | None] = queue.Queue(lines)
-        self._thread = threading.Thread(target=self._write, args=(stream,), daemon=True)
+        self._max_lines_per_s = max_lines_per_s
+        self._tokens = max_lines_per_s
+        self._refilled_at_s = time.monotonic()
+        self._queue: queue.Queue[str | None] = queue.Queue(max_queued_lines)
+        self._thread = threading.Thread(target=self._write_queued, args=(stream,), daemon=True)
         self._thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
         """Queue a line, or count it as dropped."""
-        if not self._may_write(record):
+        if not self._take_token(record):
             self.dropped += 1
             return
-        if self.dropped and self._has_room():
+        if self.dropped and self._may_report_dropped():
             dropped, self.dropped = self.dropped, 0
             events.log(LOGGER, events.Event.LINES_DROPPED, count=dropped)
         try:
@@ -89,7 +95,7 @@
             self.dropped += 1
 
     def close(self) -> None:
-        """Wait a little for the last lines."""
+        """Wait up to :data:`FLUSH_TIMEOUT_S` until the queued lines are written."""
         try:
             self._queue.put_nowait(None)
         except queue.Full:
@@ -98,23 +104,23 @@
             self._thread.join(FLUSH_TIMEOUT_S)
         super().close()
 
-    def _may_write(self, record: logging.LogRecord) -> bool:
+    def _take_token(self, record: logging.LogRecord) -> bool:
         now_s = time.monotonic()
-        filled = self._allowed + (now_s - self._filled_at_s) * self._lines_per_s
-        self._allowed = min(self._lines_per_s, filled)
-        self._filled_at_s = now_s
-        # Errors go first: a flood of ordinary lines leaves a tenth of the rate to them.
-        least = 1 if record.levelno >= logging.ERROR else self._lines_per_s / 10
-        if self._allowed < least:
+        refilled = self._tokens + (now_s - self._refilled_at_s) * self._max_lines_per_s
+        self._tokens = min(self._max_lines_per_s, refilled)
+        self._refilled_at_s = now_s
+        # A tenth of the bucket is reserved for errors, so that other lines cannot displace them.
+        required = 1 if record.levelno >= logging.ERROR else self._max_lines_per_s / 10
+        if self._tokens < required:
             return False
-        self._allowed -= 1
+        self._tokens -= 1
         return True
 
-    def _has_room(self) -> bool:
-        # The line that tells of the gap must not fall into it, or its count is lost.
-        return not self._queue.full() and self._allowed > self._lines_per_s / 10 + 1
+    def _may_report_dropped(self) -> bool:
+        # The report must not be dropped itself, or the number of dropped lines would be lost.
+        return not self._queue.full() and self._tokens > self._max_lines_per_s / 10 + 1
 
-    def _write(self, stream: typing.TextIO) -> None:
+    def _write_queued(self, stream: typing.TextIO) -> None:
         try:
             while (line := self._queue.get()) is not None:
                 stream.write(line + "\n")
@@ -122,25 +128,27 @@
                     stream.flush()
             stream.flush()
         except (OSError, ValueError):
-            # The output itself is gone, so there is nowhere to tell it; the queue fills up and
+            # The output is closed, so the error cannot be logged either. The queue fills up and
             # further lines are counted as dropped.
             return
 
 
 def set_up(stream: typing.TextIO, log_format: str, level: str) -> None:
-    """Send the package's logs to ``stream``.
+    """Send the logs of the package to ``stream``; writing blocks if its reader stalls.
 
     :param stream: an open text stream
     :param log_format: one of :data:`LOG_FORMATS`
-    :param level: a name of :mod:`logging`'s levels
+    :param level: name of a level of :mod:`logging`, in any case
     """
     _install(logging.StreamHandler(stream), log_format, level)
 
 
 def set_up_bounded(stream: typing.TextIO, level: str) -> BoundedHandler:
-    """Send the package's logs to ``stream`` as JSON, without ever waiting for its reader.
+    """Send the logs of the package to ``stream`` as JSON, without blocking on its reader.
 
-    :return: the handler; close it before the process ends
+    :param stream: an open text stream
+    :param level: name of a level of :mod:`logging`, in any case
+    :return: the handler, which must be closed before the process ends
     """
     handler = BoundedHandler(stream)
     _install(handler, "json", level)
