--- a/toucanhold/__main__.py
+++ b/toucanhold/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of ``python -m toucanhold`` and of the binary."""
+"""Main module of ``python -m toucanhold`` and of the binary."""
 
 import sys
 
--- a/toucanhold/application.py
+++ b/toucanhold/application.py
@@ -1,4 +1,4 @@
-"""An application: what it owns, in the order of starting and stopping."""
+"""The life cycle of an application: start, run, graceful stop and clean-up."""
 
 import abc
 import collections.abc
@@ -12,23 +12,23 @@
 
 
 class Application(abc.ABC):
-    """Owns components and runs them between its life-cycle hooks."""
+    """Base class of applications, which implement the three life-cycle hooks."""
 
     async def run(self) -> None:
-        """Run until a stop signal."""
-        asked_to_stop = trio.Event()
+        """Run until SIGTERM or SIGINT, then stop gracefully."""
+        stop_requested = trio.Event()
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(_take_signals, signals, asked_to_stop)
-                await self.run_until(asked_to_stop.wait)
+                nursery.start_soon(_receive_signals, signals, stop_requested)
+                await self.run_until(stop_requested.wait)
                 nursery.cancel_scope.cancel()
 
     async def run_until(
         self, wait_for_stop: collections.abc.Callable[[], collections.abc.Awaitable[None]]
     ) -> None:
-        """Start, wait, stop, and clean up.
+        """Run the life cycle: start, wait for the stop request, stop gracefully, clean up.
 
-        :param wait_for_stop: returns when a planned stop is to begin
+        :param wait_for_stop: returns when a graceful stop is requested
         """
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(self.clean_up)
@@ -40,21 +40,21 @@
 
     @abc.abstractmethod
     async def start(self, nursery: trio.Nursery) -> None:
-        """Start all tasks in ``nursery``; return when the application serves."""
+        """Start all tasks in ``nursery``; return when the application accepts requests."""
 
     @abc.abstractmethod
     async def stop(self) -> None:
-        """Stop gracefully; return when nothing is in flight."""
+        """Stop gracefully; return when no request is in flight."""
 
     @abc.abstractmethod
     async def clean_up(self) -> None:
-        """Release what is left, also after a failure."""
+        """Release the remaining resources; called after a failure too."""
 
 
-async def _take_signals(signals, asked_to_stop: trio.Event) -> None:
-    # All signals are taken, until the end. One that is left over when the receiver is closed would
-    # be raised again with its default effect: a graceful stop that was asked for twice would end
-    # the process by the signal and not with exit status 0.
+async def _receive_signals(signals, stop_requested: trio.Event) -> None:
+    # Signals are received until the end. One that is pending when the receiver is closed is raised
+    # again with its default effect: after a second stop signal the process would be killed by it
+    # instead of exiting with status 0.
     async for number in signals:
-        LOGGER.debug("signal %s", number)
-        asked_to_stop.set()
+        LOGGER.debug("received signal %s", number)
+        stop_requested.set()
--- a/toucanhold/clock.py
+++ b/toucanhold/clock.py
@@ -1,4 +1,4 @@
-"""Times that a suspended VM cannot hide."""
+"""Points in time whose age includes the time for which the VM was suspended."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 @attrs.frozen
 class Instant:
-    """A moment.
+    """A point in time.
 
-    :ivar monotonic_s: by the clock of the run
-    :ivar suspended_s: how long the VM had been suspended by then
+    :ivar monotonic_s: trio's clock, in seconds
+    :ivar suspended_s: total time for which the VM had been suspended since its boot, in seconds
     """
 
     monotonic_s: float
     suspended_s: float = 0.0
 
     def age_s(self) -> float:
-        """Return the time since then, in seconds."""
-        # The monotonic clock stands still while the VM is suspended: after an hour of it, what was
-        # read before would look a second old. A VM that its host froze without telling it sees
-        # that on no clock; its streams, which the peers have ended, still show it within seconds.
+        """Return the time that has passed since then, in seconds."""
+        # The monotonic clock stops while the VM is suspended: after an hour of suspension, older
+        # data would seem a second old. If the host freezes the VM without notifying the guest, no
+        # clock shows it; the entry then notices within seconds that its peers closed its streams.
         current = now()
         return current.monotonic_s - self.monotonic_s + current.suspended_s - self.suspended_s
 
@@ -32,6 +32,6 @@
 
 
 def now() -> Instant:
-    """Return the present moment."""
+    """Return the current point in time."""
     boot_s = time.clock_gettime(time.CLOCK_BOOTTIME)
     return Instant(trio.current_time(), boot_s - time.clock_gettime(time.CLOCK_MONOTONIC))
--- a/toucanhold/codec.py
+++ b/toucanhold/codec.py
@@ -1,4 +1,4 @@
-"""Typed data to and from JSON and msgpack."""
+"""Encoding of attrs objects to JSON and msgpack, and decoding."""
 
 import json
 import typing
@@ -7,17 +7,17 @@
 import msgpack
 
 CONVERTER = cattrs.Converter(forbid_extra_keys=True)
-# Entries of neighbouring versions run side by side while they are replaced one by one; a field
-# that the older one does not know must not cost it the whole message.
+# Entries of adjacent versions run at the same time during a rolling upgrade; the older ones must
+# not reject a whole message because of a field that they do not know.
 TOLERANT_CONVERTER = cattrs.Converter()
 
 T = typing.TypeVar("T")
 
 
 def _bytes(value: object, _: type) -> bytes:
-    # The library would call bytes(value), and bytes(number) allocates as many as the number says.
+    # cattrs would call bytes(value), and bytes(n) allocates n bytes if a peer sends an integer.
     if not isinstance(value, bytes):
-        raise TypeError("bytes were expected")
+        raise TypeError(f"expected bytes, got {type(value).__name__}")
     return value
 
 
@@ -26,7 +26,7 @@
 
 
 class CodecError(Exception):
-    """Bytes or values do not have the expected shape; the text names each mistake by path."""
+    """Data cannot be decoded as the expected type; the message names each error with its path."""
 
 
 def to_json(value: object) -> bytes:
@@ -35,28 +35,28 @@
 
 
 def from_json(data: bytes, kind: type[T]) -> T:
-    """Decode what a program wrote; fields that ``kind`` does not have are passed over.
+    """Decode JSON that a program wrote, ignoring fields that ``kind`` does not have.
 
-    While entries are replaced one after another, older ones read what newer ones write. To refuse
-    a record for a field too many would stop the older ones.
+    During a rolling upgrade older entries read records of newer ones. Rejecting a record because
+    of an additional field would stop the older entries.
 
-    :raises CodecError: on malformed JSON or a wrong shape
+    :raises CodecError: on malformed JSON, missing fields or wrong types
     """
     return from_plain_tolerant(_load(data), kind)
 
 
 def from_json_strict(data: bytes, kind: type[T]) -> T:
-    """Decode what a person wrote: an unknown field is a mistake, such as a misspelt one.
+    """Decode JSON that a person wrote; an unknown field is an error, since it may be misspelt.
 
-    :raises CodecError: on malformed JSON or a wrong shape
+    :raises CodecError: on malformed JSON, unknown or missing fields, or wrong types
     """
     return from_plain(_load(data), kind)
 
 
 def from_plain(value: object, kind: type[T]) -> T:
-    """Turn plain maps and lists into ``kind``.
+    """Build ``kind`` from maps, lists and scalars.
 
-    :raises CodecError: on a wrong shape
+    :raises CodecError: on unknown or missing fields, or wrong types
     """
     try:
         return CONVERTER.structure(value, kind)
@@ -65,9 +65,9 @@
 
 
 def from_plain_tolerant(value: object, kind: type[T]) -> T:
-    """Turn plain maps and lists into ``kind``; fields that it lacks are left out.
+    """Build ``kind`` from maps, lists and scalars, ignoring unknown fields.
 
-    :raises CodecError: on a wrong shape
+    :raises CodecError: on missing fields or wrong types
     """
     try:
         return TOLERANT_CONVERTER.structure(value, kind)
@@ -76,21 +76,21 @@
 
 
 def pack_tagged(tag: str, value: object) -> bytes:
-    """Encode an attrs object as msgpack, with a tag that tells its kind."""
+    """Encode an attrs object as a msgpack pair of a type tag and the object."""
     return msgpack.packb((tag, TOLERANT_CONVERTER.unstructure(value)))
 
 
 def unpack_tagged(data: bytes) -> tuple[str, object]:
-    """Decode msgpack into a tag and plain maps and lists.
+    """Decode a msgpack pair into its type tag and maps, lists and scalars.
 
-    :raises CodecError: when there is no tag, or the bytes are malformed
+    :raises CodecError: when the tag is missing or the bytes are malformed
     """
     try:
         tag, plain = msgpack.unpackb(data)
     except (ValueError, TypeError, msgpack.UnpackException) as error:
         raise CodecError(f"not valid msgpack: {error!r}") from error
     if not isinstance(tag, str):
-        raise CodecError("the tag is no text")
+        raise CodecError(f"expected a string as tag, got {type(tag).__name__}")
     return tag, plain
 
 
--- a/toucanhold/core.py
+++ b/toucanhold/core.py
@@ -1,4 +1,4 @@
-"""The story of a run: arguments in, exit status out."""
+"""The program as a function of its command-line arguments and environment."""
 
 import collections.abc
 import sys
@@ -13,13 +13,14 @@
 ) -> exitstatus.ExitStatus:
     """Run one command of the command line.
 
-    :param arguments: words after the program's name; those of the process by default
-    :param env: variables and streams; those of the process by default
+    :param arguments: command-line arguments without the program's name; by default those of the
+        process
+    :param env: environment variables and streams; by default those of the process
     :return: the exit status
     """
     env = env or environment.Environment()
-    words = list(sys.argv[1:] if arguments is None else arguments)
+    argument_list = list(sys.argv[1:] if arguments is None else arguments)
     try:
-        return cli_application.run(words, env)
+        return cli_application.run(argument_list, env)
     except KeyboardInterrupt:
         return exitstatus.ExitStatus.INTERRUPTED
--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -1,4 +1,4 @@
-"""The entry: one process that is directory, router, observer and, at times, planner."""
+"""The entry process: directory, router and observer, and planner while it holds the lease."""
 
 from __future__ import annotations
 
@@ -26,31 +26,37 @@
 from toucanhold.routing import router
 
 PLANNER_LEASE_TTL_S = 4
-VM_LIST_INTERVAL_S = 1.0
-STORE_OUTCOMES_LIMIT_S = 30.0
-# Callers count the time from when an answer reached them.
-LATE_CALLERS_S = 0.5
+VM_LIST_POLL_INTERVAL_S = 1.0
+STORE_OUTCOMES_TIMEOUT_S = 30.0
+# Callers count the lifetime of a directory answer from its arrival; this allows for its transfer.
+DIRECTORY_EXPIRY_MARGIN_S = 0.5
 
 LOGGER = logging.getLogger(__name__)
 
 
 @attrs.define(eq=False)
 class EntryApplication(application.Application):
-    """Builds an entry's components from its settings and owns them."""
+    """Builds the components of an entry from its settings and runs them.
+
+    :ivar settings: settings of this entry
+    :ivar adapters: adapters to the external systems
+    """
 
     settings: settings.EntrySettings
     adapters: external.Adapters
     _stop_serving: trio.Event = attrs.field(factory=trio.Event, init=False)
-    _servers_left: int = attrs.field(default=0, init=False)
-    _all_served: trio.Event = attrs.field(factory=trio.Event, init=False)
+    _running_servers: int = attrs.field(default=0, init=False)
+    _all_servers_stopped: trio.Event = attrs.field(factory=trio.Event, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Build the components; none does anything before :meth:`start`."""
-        own = self.settings
-        self.rng = own.new_rng()
-        self.metrics = metrics.Metrics(own.entry)
+        """Build the components, which are inactive until :meth:`start`."""
+        entry_settings = self.settings
+        self.rng = entry_settings.new_rng()
+        self.metrics = metrics.Metrics(entry_settings.entry)
         self.platform = rate_limit.RateLimitedClient(
-            self.adapters.platform, own.platform_calls_per_s, 2 * own.platform_calls_per_s
+            self.adapters.platform,
+            entry_settings.platform_calls_per_s,
+            2 * entry_settings.platform_calls_per_s,
         )
         self.backends = self.adapters.backends
         self.configuration = holder.ConfigurationHolder()
@@ -80,7 +86,7 @@
         nursery.start_soon(self.planner_lease.run)
         nursery.start_soon(self.router.run)
         nursery.start_soon(self.poller.run)
-        nursery.start_soon(self._watch_vm_list)
+        nursery.start_soon(self._poll_vm_list)
         nursery.start_soon(self.planner.run)
         await nursery.start(self.orders.run)
         await self._serve(nursery, self.callers, self.settings.callers_address)
@@ -100,14 +106,16 @@
         self.callers.begin_stop()
         self.revisions.announce()
         async with trio.open_nursery() as nursery:
-            # Another entry takes over planning at once, not after the last stream has ended.
+            # Another entry can take over planning now, instead of after the last stream has ended.
             nursery.start_soon(self.planner_lease.release)
             nursery.start_soon(self.entry_lease.release)
-            # Callers keep old answers of the directory and go on coming for that long.
-            nursery.start_soon(trio.sleep, self.settings.directory_keep_s + LATE_CALLERS_S)
+            # Callers keep sending requests here while they cache the directory's old answers.
+            nursery.start_soon(
+                trio.sleep, self.settings.directory_keep_s + DIRECTORY_EXPIRY_MARGIN_S
+            )
         self._stop_serving.set()
-        await self._all_served.wait()
-        unstored = await self.orders.finish(STORE_OUTCOMES_LIMIT_S)
+        await self._all_servers_stopped.wait()
+        unstored = await self.orders.finish(STORE_OUTCOMES_TIMEOUT_S)
         if unstored:
             events.log(LOGGER, events.Event.OUTCOMES_LOST, count=unstored)
         await self.router.release()
@@ -119,26 +127,26 @@
         events.log(LOGGER, events.Event.ENTRY_STOPPED, entry=self.settings.entry)
 
     def _build_membership(self) -> None:
-        own = self.settings
+        entry_settings = self.settings
         member = roster.Member(
-            own.entry,
-            own.availability_zone,
-            own.callers_address,
-            own.operators_address,
-            own.peers_address,
+            entry_settings.entry,
+            entry_settings.availability_zone,
+            entry_settings.callers_address,
+            entry_settings.operators_address,
+            entry_settings.peers_address,
             boot=uuid.uuid4().hex,
         )
         self.roster = roster.Roster(member)
         self.entry_lease = lease.LeasedKey(
             self.platform,
-            roster.ENTRIES_PREFIX + own.entry,
+            roster.ENTRIES_PREFIX + entry_settings.entry,
             codec.to_json(member),
             roster.ENTRY_LEASE_TTL_S,
             self.rng,
         )
 
     def _build_peers(self) -> None:
-        own = self.settings
+        entry_settings = self.settings
         self.exchange = exchange.Exchange()
         self.facts = facts.FactTable(facts.EntryFact(self.roster.own, facts.new_incarnation()))
         self.revisions = revisions.RevisionExchange(
@@ -150,7 +158,7 @@
             self.facts,
         )
         self.holds = holds.HoldSpreader(
-            own.entry,
+            entry_settings.entry,
             self.exchange,
             self.configuration,
             self.store,
@@ -158,9 +166,9 @@
             self.rng,
         )
         self.peers = streams.PeerStreams(
-            handshake.Identity(own.entry, self.roster.own.boot),
-            own.peers_address,
-            own.peer_key,
+            handshake.Identity(entry_settings.entry, self.roster.own.boot),
+            entry_settings.peers_address,
+            entry_settings.peer_key,
             self.adapters.peers,
             self.exchange,
             self._peer_addresses,
@@ -178,8 +186,8 @@
         )
 
     def _peer_addresses(self) -> set[str]:
-        known = {member.peers_address for member in self.roster.members()}
-        return (known | set(self.settings.peers)) - {self.settings.peers_address}
+        member_addresses = {member.peers_address for member in self.roster.members()}
+        return (member_addresses | set(self.settings.peers)) - {self.settings.peers_address}
 
     def _build_planner(self) -> None:
         self.planner_lease = lease.LeasedKey(
@@ -228,7 +236,7 @@
 
     def _serving_entries(self) -> list[str]:
         members = self.roster.members()
-        return [each.entry for each in members if each.state is roster.EntryState.SERVING]
+        return [member.entry for member in members if member.state is roster.EntryState.SERVING]
 
     def _build_followers(self) -> None:
         follower = functools.partial(following.PrefixFollower, self.platform, rng=self.rng)
@@ -237,7 +245,7 @@
         self.roster_follower = follower(roster.ENTRIES_PREFIX, self._refresh_roster)
 
     def _build_interfaces(self) -> None:
-        own = self.settings
+        entry_settings = self.settings
         self.callers = callers_app.CallersApp(
             self.configuration,
             self.permit,
@@ -245,8 +253,12 @@
             self.orders,
             self._new_directory(),
             self.metrics,
-            callers_reading.Limits(own.body_limit_bytes, own.default_timeout_s, own.max_timeout_s),
-            own.max_requests_in_flight,
+            callers_reading.Limits(
+                entry_settings.body_limit_bytes,
+                entry_settings.default_timeout_s,
+                entry_settings.max_timeout_s,
+            ),
+            entry_settings.max_requests_in_flight,
         )
         self.status_composer = status.StatusComposer(
             self.roster,
@@ -272,7 +284,7 @@
             self.status_composer,
             preview.Previewer(self.planner.policy, self.planner.input_builder),
             self.metrics,
-            own.operator_token,
+            entry_settings.operator_token,
         )
 
     def _new_directory(self) -> directory.Directory:
@@ -286,22 +298,22 @@
         )
 
     async def _serve(self, nursery: trio.Nursery, app, address: str) -> None:
-        self._servers_left += 1
+        self._running_servers += 1
         await nursery.start(self._serve_until_stop, app, address)
 
     async def _serve_until_stop(self, app, address: str, *, task_status) -> None:
         await self.adapters.server.serve(app, address, self._stop_serving, task_status=task_status)
-        self._servers_left -= 1
-        if not self._servers_left:
-            self._all_served.set()
+        self._running_servers -= 1
+        if not self._running_servers:
+            self._all_servers_stopped.set()
 
-    async def _watch_vm_list(self) -> None:
+    async def _poll_vm_list(self) -> None:
         while True:
             try:
                 self.view.platform_leaving = await self.adapters.vm_list.read_leaving()
             except vms.VmListError as error:
-                LOGGER.debug("the list of VMs: %s", error)
-            await trio.sleep(VM_LIST_INTERVAL_S * self.rng.uniform(0.8, 1.2))
+                LOGGER.debug("cannot read the list of VMs: %s", error)
+            await trio.sleep(VM_LIST_POLL_INTERVAL_S * self.rng.uniform(0.8, 1.2))
 
     async def _refresh_plan(self) -> int:
         result = await self.platform.read(plan.PLAN_PREFIX)
@@ -309,16 +321,16 @@
             try:
                 self.plans.apply(plan.from_item(item))
             except codec.CodecError as error:
-                LOGGER.error("the stored plan %s is not readable: %s", item.key, error)
+                LOGGER.error("cannot decode the stored plan %s: %s", item.key, error)
         return result.revision
 
     async def _refresh_roster(self) -> int:
         result = await self.platform.read(roster.ENTRIES_PREFIX)
         self.roster.replace_listed(result.items)
-        self._forget_gone_entries()
+        self._remove_departed_entries()
         return result.revision
 
-    def _forget_gone_entries(self) -> None:
+    def _remove_departed_entries(self) -> None:
         connected = self.exchange.connected()
         for fact in self.facts.others():
             entry = fact.member.entry
--- a/toucanhold/environment.py
+++ b/toucanhold/environment.py
@@ -1,4 +1,4 @@
-"""The surroundings of a run, passed along instead of globals."""
+"""Environment variables and standard streams, passed as an argument instead of as globals."""
 
 import collections.abc
 import os
@@ -10,11 +10,11 @@
 
 @attrs.define
 class Environment:
-    """Variables and streams of the process.
+    """Environment variables and standard streams of a run.
 
-    :ivar variables: environment variables, name to value
-    :ivar stdout: where answers go
-    :ivar stderr: where errors and logs go
+    :ivar variables: environment variables by name
+    :ivar stdout: receives answers
+    :ivar stderr: receives errors and logs
     """
 
     variables: collections.abc.Mapping[str, str] = attrs.field(factory=lambda: dict(os.environ))
--- a/toucanhold/exitstatus.py
+++ b/toucanhold/exitstatus.py
@@ -4,7 +4,7 @@
 
 
 class ExitStatus(enum.IntEnum):
-    """What the process tells its parent; listed in docs/OPERATORS.md."""
+    """Exit status of the process; docs/OPERATORS.md lists the meanings."""
 
     OK = 0
     ERROR = 1
--- a/toucanhold/external.py
+++ b/toucanhold/external.py
@@ -31,12 +31,18 @@
         await self.backends.close()
 
 
-def from_settings(own: settings.EntrySettings) -> Adapters:
+def from_settings(entry_settings: settings.EntrySettings) -> Adapters:
     """Return the production adapters."""
     return Adapters(
-        platform=etcd.EtcdClient(own.platform_url, own.entry),
-        vm_list=vms.HttpVmList(own.vm_list_url) if own.vm_list_url else vms.EmptyVmList(),
+        platform=etcd.EtcdClient(entry_settings.platform_url, entry_settings.entry),
+        vm_list=(
+            vms.HttpVmList(entry_settings.vm_list_url)
+            if entry_settings.vm_list_url
+            else vms.EmptyVmList()
+        ),
         backends=http.HttpBackendClient(),
         peers=transport.TcpTransport(),
-        server=serving.HypercornServer(own.idle_timeout_s, (own.tls_certificate, own.tls_key)),
+        server=serving.HypercornServer(
+            entry_settings.idle_timeout_s, (entry_settings.tls_certificate, entry_settings.tls_key)
+        ),
     )
--- a/toucanhold/gauges.py
+++ b/toucanhold/gauges.py
@@ -1,4 +1,4 @@
-"""Metrics that are read from an entry's components when a scraper asks."""
+"""Gauges and counters that are read from the components of an entry at each scrape."""
 
 from __future__ import annotations
 
@@ -18,8 +18,14 @@
 
 
 @attrs.frozen
-class Source:
-    """A metric that is read, and how."""
+class MetricSource:
+    """The definition of a metric that is read at each scrape.
+
+    :ivar name: name by OpenTelemetry's conventions
+    :ivar unit: UCUM unit, such as ``{request}``
+    :ivar description: help text
+    :ivar read: returns the values of an entry with their attributes
+    """
 
     name: str
     unit: str
@@ -28,22 +34,22 @@
 
 
 def register(entry: entries.EntryApplication) -> None:
-    """Add the gauges and totals of ``entry`` to its metrics."""
+    """Add the gauges and counters to the metrics of ``entry``."""
     for gauge in GAUGES:
         read = functools.partial(gauge.read, entry)
         entry.metrics.add_gauge(gauge.name, gauge.unit, gauge.description, read)
-    for total in TOTALS:
-        read = functools.partial(total.read, entry)
-        entry.metrics.add_counter(total.name, total.unit, total.description, read)
+    for counter in COUNTERS:
+        read = functools.partial(counter.read, entry)
+        entry.metrics.add_counter(counter.name, counter.unit, counter.description, read)
 
 
-def _serving(entry: entries.EntryApplication) -> metrics.Observations:
+def _serving_replicas(entry: entries.EntryApplication) -> metrics.Observations:
     now_s = trio.current_time()
     for service in entry.configuration.current.rules.services:
         yield len(entry.finder.find(service, now_s)), {"toucanhold.service": service.name}
 
 
-def _wanted(entry: entries.EntryApplication) -> metrics.Observations:
+def _wanted_replicas(entry: entries.EntryApplication) -> metrics.Observations:
     configuration = entry.configuration.current
     for service in configuration.rules.services:
         wanted = service.replicas
@@ -52,7 +58,7 @@
         yield wanted, {"toucanhold.service": service.name}
 
 
-def _by_warmth(entry: entries.EntryApplication) -> metrics.Observations:
+def _servers_by_warmth(entry: entries.EntryApplication) -> metrics.Observations:
     now_s = trio.current_time()
     counts: collections.Counter[str] = collections.Counter()
     for vm in entry.configuration.current.inventory.vms:
@@ -72,81 +78,83 @@
         yield count, {"toucanhold.call": kind}
 
 
-def _single(
+def _unlabelled(
     value: collections.abc.Callable[[entries.EntryApplication], float],
 ) -> collections.abc.Callable[[entries.EntryApplication], metrics.Observations]:
     return lambda entry: [(value(entry), {})]
 
 
 GAUGES = (
-    Source(
+    MetricSource(
         "toucanhold.configuration.number",
         "{configuration}",
         "Number of the configuration in force",
-        _single(lambda entry: entry.configuration.current.number),
+        _unlabelled(lambda entry: entry.configuration.current.number),
     ),
-    Source(
+    MetricSource(
         "toucanhold.plan.revision",
         "{revision}",
         "Highest revision of the plan known",
-        _single(lambda entry: entry.plans.revision),
+        _unlabelled(lambda entry: entry.plans.revision),
     ),
-    Source(
+    MetricSource(
         "toucanhold.planner.lease_held",
         "1",
         "Whether this entry is the planner",
-        _single(lambda entry: int(entry.planner.leadership.is_held())),
+        _unlabelled(lambda entry: int(entry.planner.leadership.is_held())),
     ),
-    Source(
+    MetricSource(
         "toucanhold.platform.answering",
         "1",
         "Whether the key-value service answers",
-        _single(lambda entry: int(entry.configuration_follower.is_answering)),
+        _unlabelled(lambda entry: int(entry.configuration_follower.is_answering)),
     ),
-    Source(
+    MetricSource(
         "toucanhold.new_work.permitted",
         "1",
         "Whether this entry knows the configuration late enough to start new work",
-        _single(lambda entry: int(entry.permit.may_start())),
+        _unlabelled(lambda entry: int(entry.permit.may_start())),
     ),
-    Source(
+    MetricSource(
         "http.server.active_requests",
         "{request}",
         "Callers' requests in flight",
-        _single(lambda entry: entry.callers.in_flight),
+        _unlabelled(lambda entry: entry.callers.in_flight),
     ),
-    Source(
+    MetricSource(
         "toucanhold.replicas.serving",
         "{replica}",
         "Groups or plain servers that may get work",
-        _serving,
+        _serving_replicas,
     ),
-    Source(
+    MetricSource(
         "toucanhold.replicas.wanted",
         "{replica}",
         "Groups or plain servers that the rules want",
-        _wanted,
+        _wanted_replicas,
+    ),
+    MetricSource(
+        "toucanhold.backend_servers", "{server}", "Backend servers by warmth", _servers_by_warmth
     ),
-    Source("toucanhold.backend_servers", "{server}", "Backend servers by warmth", _by_warmth),
 )
 
-TOTALS = (
-    Source(
+COUNTERS = (
+    MetricSource(
         "toucanhold.platform.calls",
         "{call}",
         "Calls to the key-value service by kind",
         _platform_calls,
     ),
-    Source(
+    MetricSource(
         "toucanhold.platform.calls_refused",
         "{call}",
         "Calls held back by the entry's own budget, by kind",
         _refused_platform_calls,
     ),
-    Source(
+    MetricSource(
         "toucanhold.peers.sent",
         "By",
         "Bytes sent to other entries",
-        _single(lambda entry: entry.peers.sent_bytes),
+        _unlabelled(lambda entry: entry.peers.sent_bytes),
     ),
 )
--- a/toucanhold/keyring.py
+++ b/toucanhold/keyring.py
@@ -1,7 +1,7 @@
-"""Shared secrets that can be exchanged while the system runs.
+"""Shared secrets that can be rotated while the system runs.
 
-A secret is replaced in three rounds over all entries: ``old,new``, then ``new,old``, then ``new``.
-In each round an entry accepts what entries of the round before and of the next one use.
+A secret is rotated in three rounds over all entries: ``old,new``, then ``new,old``, then ``new``.
+In each round an entry accepts the secrets used by entries of the previous and of the next round.
 """
 
 import collections.abc
@@ -14,31 +14,38 @@
 
 @attrs.frozen
 class KeyRing:
-    """Secrets, the one in use first; the others are only accepted."""
+    """Secrets of which the first is used and all are accepted.
+
+    :ivar keys: at least one secret
+    """
 
     keys: tuple[bytes, ...] = attrs.field(repr=False)
 
     @property
     def primary(self) -> bytes:
-        """The secret in use."""
+        """The secret that is used."""
         return self.keys[0]
 
     def derived(self, derive: Derive) -> "KeyRing":
-        """Return the ring of what ``derive`` makes of each secret."""
+        """Return a key ring with the result of ``derive`` for each secret, in the same order."""
         return KeyRing(tuple(derive(key) for key in self.keys))
 
     def find(self, presented: bytes, proof: Derive) -> bytes | None:
-        """Return the secret whose ``proof`` was presented, or None.
+        """Return the secret whose proof was presented, or None.
+
+        All secrets are compared, each in constant time, so that the duration does not leak to an
+        unauthenticated client which secret matches.
 
-        All are compared, each in constant time: how long it takes tells a stranger nothing.
+        :param presented: the proof that the other side sent
+        :param proof: computes the expected proof from a secret
         """
-        found = None
+        matching = None
         for key in self.keys:
             if hmac.compare_digest(proof(key), presented):
-                found = key
-        return found
+                matching = key
+        return matching
 
 
 def from_text(text: str) -> KeyRing:
-    """Return the ring of secrets that stand separated by commas."""
+    """Return the key ring of comma-separated secrets; spaces around them are removed."""
     return KeyRing(tuple(part.strip().encode() for part in text.split(",")))
--- a/toucanhold/metrics.py
+++ b/toucanhold/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of an entry, by OpenTelemetry, in the form that usual scrapers read."""
+"""OpenTelemetry metrics of an entry, exposed in the Prometheus text format."""
 
 import collections.abc
 import math
@@ -25,18 +25,18 @@
 class Metrics:
     """The instruments of one entry.
 
-    :ivar entry: name of the entry, told as ``service.instance.id``
+    :ivar entry: name of the entry, exported as ``service.instance.id``
     """
 
     entry: str
     _registry: prometheus_client.CollectorRegistry = attrs.field(init=False)
     _meter: api.Meter = attrs.field(init=False)
     _request_duration_s: api.Histogram = attrs.field(init=False)
-    _first_token_s: api.Histogram = attrs.field(init=False)
-    _token_s: api.Histogram = attrs.field(init=False)
+    _time_to_first_token_s: api.Histogram = attrs.field(init=False)
+    _time_per_token_s: api.Histogram = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Create the instruments; names follow the semantic conventions where there are any."""
+        """Create the instruments; names follow OpenTelemetry's conventions where there are any."""
         self._registry = prometheus_client.CollectorRegistry()
         reader = prometheus.PrometheusMetricReader(
             registry=self._registry, scope_info_enabled=False
@@ -49,10 +49,10 @@
         self._request_duration_s = self._meter.create_histogram(
             "http.server.request.duration", "s", "Time to answer callers' requests"
         )
-        self._first_token_s = self._meter.create_histogram(
+        self._time_to_first_token_s = self._meter.create_histogram(
             "gen_ai.server.time_to_first_token", "s", "Time to a stream's first event"
         )
-        self._token_s = self._meter.create_histogram(
+        self._time_per_token_s = self._meter.create_histogram(
             "gen_ai.server.time_per_output_token", "s", "Mean time between a stream's events"
         )
 
@@ -63,9 +63,10 @@
         description: str,
         read: collections.abc.Callable[[], Observations],
     ) -> None:
-        """Add a gauge that is read when a scraper asks.
+        """Add a gauge that is read at each scrape.
 
-        :param read: returns values with their attributes
+        :param unit: UCUM unit
+        :param read: returns the current values with their attributes
         """
 
         def callback(options: api.CallbackOptions) -> list[api.Observation]:
@@ -80,9 +81,10 @@
         description: str,
         read: collections.abc.Callable[[], Observations],
     ) -> None:
-        """Add a counter that is read when a scraper asks.
+        """Add a counter that is read at each scrape.
 
-        :param read: returns totals since the start with their attributes
+        :param unit: UCUM unit
+        :param read: returns the totals since the start with their attributes
         """
 
         def callback(options: api.CallbackOptions) -> list[api.Observation]:
@@ -91,17 +93,22 @@
         self._meter.create_observable_counter(name, [callback], unit, description)
 
     def new_timer(self, method: str, route: str) -> "RequestTimer":
-        """Return a timer for one request of a caller."""
+        """Return a timer for a request that starts now.
+
+        :param method: HTTP method
+        :param route: route of the request, not its path, so that the number of values is bounded
+        """
         return RequestTimer(self, method, route, trio.current_time())
 
     def exposition(self) -> bytes:
-        """Return all values in the text format of :data:`CONTENT_TYPE`."""
+        """Return all metrics in the text format of :data:`CONTENT_TYPE`."""
         return prometheus_client.generate_latest(self._registry)
 
     def record(self, timer: "RequestTimer", status: int, answer: str) -> None:
-        """Take in a finished request.
+        """Record a finished request.
 
-        :param answer: whether the answer was whole
+        :param status: HTTP status code
+        :param answer: value of the ``toucanhold.answer`` attribute: how the answer ended
         """
         now_s = trio.current_time()
         attributes = {
@@ -113,15 +120,21 @@
         self._request_duration_s.record(now_s - timer.started_at_s, attributes)
         if math.isfinite(timer.first_event_at_s):
             route = {"http.route": timer.route}
-            self._first_token_s.record(timer.first_event_at_s - timer.started_at_s, route)
+            self._time_to_first_token_s.record(timer.first_event_at_s - timer.started_at_s, route)
             if timer.events > 1:
                 streamed_s = timer.last_event_at_s - timer.first_event_at_s
-                self._token_s.record(streamed_s / (timer.events - 1), route)
+                self._time_per_token_s.record(streamed_s / (timer.events - 1), route)
 
 
 @attrs.define(eq=False)
 class RequestTimer:
-    """Times one request; a stream's tokens cost one record for all of them."""
+    """Measures one request; the token times of a stream are recorded once, as their mean.
+
+    :ivar started_at_s: when the request started, by trio's clock
+    :ivar first_event_at_s: when the first events were forwarded; infinite before
+    :ivar last_event_at_s: when the latest events were forwarded; infinite before
+    :ivar events: number of forwarded events
+    """
 
     metrics: Metrics
     method: str
@@ -132,7 +145,7 @@
     events: int = 0
 
     def record_events(self, count: int) -> None:
-        """Count events of a stream that were passed on now."""
+        """Record that ``count`` events of a stream are being forwarded now."""
         now_s = trio.current_time()
         if not self.events:
             self.first_event_at_s = now_s
@@ -140,7 +153,7 @@
         self.events += count
 
     def finish(self, status: int, answer: str) -> None:
-        """Record the request."""
+        """Record the request as finished now; see :meth:`Metrics.record`."""
         self.metrics.record(self, status, answer)
 
 
--- a/toucanhold/serving.py
+++ b/toucanhold/serving.py
@@ -1,4 +1,4 @@
-"""Serving an ASGI application with hypercorn."""
+"""HTTP servers for ASGI applications."""
 
 import abc
 import collections.abc
@@ -12,12 +12,12 @@
 import trio
 
 MAX_HEADER_BYTES = 32 * 1024
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 STALLED_CLIENT_TIMEOUT_S = 30
 
 
 class ListenError(Exception):
-    """An address could not be bound."""
+    """The server cannot listen on its address."""
 
 
 class HttpServer(abc.ABC):
@@ -32,19 +32,22 @@
         *,
         task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until ``stop`` is set and every request in flight is finished.
+        """Serve until ``stop`` is set and all requests in flight have finished.
 
+        :param app: ASGI application
         :param address: ``IP:port``
-        :raises ListenError: when the address cannot be bound
+        :param stop: set to stop gracefully
+        :param task_status: started when the server listens
+        :raises ListenError: when it cannot listen on the address
         """
 
 
 @attrs.frozen
 class HypercornServer(HttpServer):
-    """Serves with hypercorn.
+    """Serves ASGI applications with hypercorn.
 
-    :ivar idle_timeout_s: time after which an idle connection is closed
-    :ivar tls_files: PEM files of certificate and key; empty for plain HTTP
+    :ivar idle_timeout_s: time after which an idle connection is closed, in seconds
+    :ivar tls_files: paths of the PEM files of certificate and key; empty for plain HTTP
     """
 
     idle_timeout_s: float
@@ -70,7 +73,7 @@
         config.certfile, config.keyfile = (name or None for name in self.tls_files)
         config.alpn_protocols = ["http/1.1"]
         config.keep_alive_timeout = self.idle_timeout_s
-        # A cap here would cut streams in flight at a planned stop; each request has its own
+        # A limit would cut off the streams in flight at a planned stop. Each request has its own
         # deadline.
         config.graceful_timeout = math.inf
         config.h11_max_incomplete_size = MAX_HEADER_BYTES
@@ -87,12 +90,12 @@
     listener = socket.socket(family, socket.SOCK_STREAM)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # hypercorn shields each write from cancellation. A caller that stops reading would hold
-        # its task, and with it a planned stop, for ever; the kernel ends such a connection.
+        # hypercorn shields each write from cancellation. A caller that stops reading would block
+        # its task, and thereby a planned stop, for ever. The kernel closes such connections.
         timeout_ms = STALLED_CLIENT_TIMEOUT_S * 1000
         listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
         listener.bind((host, int(port)))
-        listener.listen(BACKLOG)
+        listener.listen(LISTEN_BACKLOG)
     except OSError as error:
         listener.close()
         raise ListenError(f"cannot listen on {address}: {error}") from error
--- a/toucanhold/settings.py
+++ b/toucanhold/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry, from flags and environment variables."""
+"""Settings of an entry, read from command-line flags and environment variables."""
 
 import collections.abc
 import ipaddress
@@ -15,14 +15,14 @@
 
 
 class SettingError(Exception):
-    """One setting that is missing or wrong; names the flag and the variable."""
+    """One setting is missing or invalid; the message names its flag and variable."""
 
 
 class InvalidSettingsError(ExceptionGroup):
-    """All mistakes of the settings, each a :class:`SettingError`."""
+    """All errors of the settings, each a :class:`SettingError`."""
 
     def derive(self, excs: collections.abc.Sequence[Exception]) -> "InvalidSettingsError":
-        """Keep the type when the group is split."""
+        """Return a group of the same type; called when the group is split."""
         return InvalidSettingsError(self.message, excs)
 
 
@@ -34,7 +34,7 @@
     return attrs.field(default=default, repr=not secret, metadata=metadata)
 
 
-def _text(text: str) -> str:
+def _identifier(text: str) -> str:
     if not text or set(text) - set(string.ascii_letters + string.digits + "-._"):
         raise ValueError("must be letters, digits, '-', '.' or '_'")
     return text
@@ -61,18 +61,18 @@
     return text.rstrip("/")
 
 
-def _secrets(text: str) -> keyring.KeyRing:
-    found = keyring.from_text(text)
-    if any(len(key) < SECRET_MIN_LENGTH for key in found.keys):
+def _key_ring(text: str) -> keyring.KeyRing:
+    key_ring = keyring.from_text(text)
+    if any(len(key) < SECRET_MIN_LENGTH for key in key_ring.keys):
         raise ValueError(f"each must have {SECRET_MIN_LENGTH} characters or more")
-    return found
+    return key_ring
 
 
 def _number(low: float, high: float) -> Parser:
     def parse(text: str) -> float:
         value = float(text)
         if not low <= value <= high:
-            raise ValueError(f"must lie in {low} to {high}")
+            raise ValueError(f"must be {low} to {high}")
         return value
 
     return parse
@@ -82,7 +82,7 @@
     def parse(text: str) -> int:
         value = int(text)
         if not low <= value <= high:
-            raise ValueError(f"must lie in {low} to {high}")
+            raise ValueError(f"must be {low} to {high}")
         return value
 
     return parse
@@ -99,13 +99,14 @@
 
 @attrs.frozen(kw_only=True)
 class EntrySettings:
-    """Everything an entry is told at its start.
+    """The settings of an entry.
 
-    Each field is the flag ``--field-name`` and the variable ``TOUCANHOLD_FIELD_NAME``.
+    Each field is set by the flag ``--field-name`` or the variable ``TOUCANHOLD_FIELD_NAME``. The
+    help texts of the fields describe them.
     """
 
-    entry: str = _setting("unique name of this entry", _text)
-    availability_zone: str = _setting("availability zone it runs in", _text)
+    entry: str = _setting("unique name of this entry", _identifier)
+    availability_zone: str = _setting("availability zone it runs in", _identifier)
     callers_address: str = _setting("IP:port for callers", _address)
     operators_address: str = _setting("IP:port for operators", _address)
     peers_address: str = _setting("IP:port for other entries", _address)
@@ -117,11 +118,11 @@
     )
     vm_list_url: str = _setting("URL of the platform's list of VMs; empty for none", str, "")
     operator_token: keyring.KeyRing = _setting(
-        "tokens of operators, separated by commas", _secrets, secret=True
+        "tokens of operators, separated by commas", _key_ring, secret=True
     )
     peer_key: keyring.KeyRing = _setting(
         "keys that entries share, separated by commas; the first is used, all are accepted",
-        _secrets,
+        _key_ring,
         secret=True,
     )
     peers: tuple[str, ...] = _setting(
@@ -154,17 +155,17 @@
     )
 
     def new_rng(self) -> random.Random:
-        """Return a generator of random numbers."""
+        """Return a random number generator; with a seed it is reproducible for each entry."""
         return random.Random(f"{self.seed}:{self.entry}" if self.seed else None)
 
 
 def flag_name(field: attrs.Attribute) -> str:
-    """Return a field's flag without its dashes."""
+    """Return the flag of a field, without the leading dashes."""
     return field.name.replace("_", "-")
 
 
 def variable_name(field: attrs.Attribute) -> str:
-    """Return a field's environment variable."""
+    """Return the environment variable of a field."""
     return ENVIRONMENT_PREFIX + field.name.upper()
 
 
@@ -172,28 +173,29 @@
     flags: collections.abc.Mapping[str, str | None],
     variables: collections.abc.Mapping[str, str],
 ) -> EntrySettings:
-    """Check everything and return the settings; a flag goes before its variable.
+    """Parse and validate the settings; a flag takes precedence over its variable.
 
-    :param flags: flag names without dashes, to their text or None
-    :raises InvalidSettingsError: naming every mistake; secrets are not repeated
+    :param flags: text or None by flag name without leading dashes
+    :param variables: environment variables by name
+    :raises InvalidSettingsError: with every error; the messages do not contain secrets
     """
     values: dict[str, typing.Any] = {}
-    mistakes: list[SettingError] = []
+    errors: list[SettingError] = []
     for field in attrs.fields(EntrySettings):
         name = f"--{flag_name(field)} ({variable_name(field)})"
         text = flags.get(flag_name(field))
         text = variables.get(variable_name(field)) if text is None else text
         if text is None:
             if field.default is attrs.NOTHING:
-                mistakes.append(SettingError(f"{name}: missing: {field.metadata['help']}"))
+                errors.append(SettingError(f"{name}: missing: {field.metadata['help']}"))
             continue
         try:
             values[field.name] = field.metadata["parse"](text)
         except ValueError as error:
             shown = f" (got {text!r})" if field.repr else ""
-            mistakes.append(SettingError(f"{name}: {error}{shown}"))
+            errors.append(SettingError(f"{name}: {error}{shown}"))
     if bool(values.get("tls_certificate")) != bool(values.get("tls_key")):
-        mistakes.append(SettingError("--tls-certificate and --tls-key go together"))
-    if mistakes:
-        raise InvalidSettingsError("invalid settings", mistakes)
+        errors.append(SettingError("--tls-certificate and --tls-key go together"))
+    if errors:
+        raise InvalidSettingsError("invalid settings", errors)
     return EntrySettings(**values)
