--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Properties under generated input: whatever comes in, only the layer's own errors come out."""
+"""Property-based tests: on any input, each layer raises only its own errors."""
 
 import contextlib
 import json
@@ -16,7 +16,7 @@
 from toucanhold.plans import plan
 from toucanhold.routing import sse
 
-# The same examples in each run, so that the verdict is the same, too.
+# Derandomised: each run uses the same examples and so gives the same result.
 fuzzed = hypothesis.settings(
     max_examples=150, derandomize=True, deadline=None, database=None, print_blob=True
 )
@@ -54,37 +54,37 @@
 class PeerMessageTest(unittest.TestCase):
     @fuzzed
     @hypothesis.given(strategies.binary(max_size=200))
-    def test_a_frame_of_any_bytes_is_a_message_or_a_message_error(self, body):
+    def test_any_frame_decodes_or_raises_message_error(self, body):
         with contextlib.suppress(messages.MessageError):
             messages.decode(body)
 
     @fuzzed
     @hypothesis.given(strategies.builds(messages.ConfigurationNews, deltas))
-    def test_a_delta_comes_back_as_it_was_sent(self, message):
+    def test_configuration_delta_survives_encoding(self, message):
         self.assertEqual(message, messages.decode(messages.encode(message)))
 
     @fuzzed
     @hypothesis.given(strategies.lists(groups, max_size=3).map(tuple))
-    def test_a_plan_comes_back_as_it_was_sent(self, planned):
+    def test_plan_survives_encoding(self, planned):
         domain = plan.DomainPlan("fabric-1", groups=planned)
         message = messages.PlanNews((plan.VersionedDomainPlan(domain, 7),))
         self.assertEqual(message, messages.decode(messages.encode(message)))
 
     @fuzzed
     @hypothesis.given(strategies.lists(strategies.binary(max_size=60), max_size=5))
-    def test_a_stream_of_any_bytes_ends_in_a_frame_error(self, chunks):
+    def test_any_byte_stream_ends_in_frame_error(self, chunks):
         trio.run(self._receive_all, chunks)
 
     async def _receive_all(self, chunks):
-        theirs, ours = trio.testing.memory_stream_pair()
+        sending_end, receiving_end = trio.testing.memory_stream_pair()
         for chunk in chunks:
             if chunk:
-                await theirs.send_all(chunk)
-        await theirs.aclose()
-        framed = frames.FrameStream(ours, 30)
+                await sending_end.send_all(chunk)
+        await sending_end.aclose()
+        frame_stream = frames.FrameStream(receiving_end, 30)
         with self.assertRaises(frames.FrameError):
             while True:
-                self.assertLessEqual(len(await framed.receive()), 30)
+                self.assertLessEqual(len(await frame_stream.receive()), 30)
 
 
 class EventStreamTest(unittest.TestCase):
@@ -94,24 +94,24 @@
         strategies.lists(strategies.integers(1, 9), min_size=1),
         strategies.sampled_from([b"\n", b"\r\n"]),
     )
-    def test_events_do_not_depend_on_how_the_bytes_arrive(self, lines, sizes, ending):
+    def test_events_do_not_depend_on_chunk_sizes(self, lines, sizes, ending):
         data = b"".join(line + ending for line in lines)
-        whole = list(sse.EventSplitter().feed(data))
-        splitter, pieces, position, turn = sse.EventSplitter(), [], 0, 0
+        expected = list(sse.EventSplitter().feed(data))
+        splitter, events, position, chunk_index = sse.EventSplitter(), [], 0, 0
         while position < len(data):
-            size = sizes[turn % len(sizes)]
-            pieces += splitter.feed(data[position : position + size])
-            position, turn = position + size, turn + 1
+            size = sizes[chunk_index % len(sizes)]
+            events += splitter.feed(data[position : position + size])
+            position, chunk_index = position + size, chunk_index + 1
         self.assertEqual(
-            [(event.event_id, event.data) for event in whole],
-            [(event.event_id, event.data) for event in pieces],
+            [(event.event_id, event.data) for event in expected],
+            [(event.event_id, event.data) for event in events],
         )
-        joined = b"".join(event.raw for event in pieces)
+        joined = b"".join(event.raw for event in events)
         self.assertTrue(data.startswith(joined))
 
     @fuzzed
     @hypothesis.given(strategies.lists(strategies.binary(max_size=50), max_size=6))
-    def test_any_bytes_are_split_or_refused(self, chunks):
+    def test_any_bytes_split_into_events_with_data(self, chunks):
         splitter = sse.EventSplitter()
         for chunk in chunks:
             for event in splitter.feed(chunk):
@@ -121,15 +121,15 @@
 class DocumentTest(unittest.TestCase):
     @fuzzed
     @hypothesis.given(plain)
-    def test_any_decoded_file_is_valid_or_told_what_is_wrong(self, value):
+    def test_any_decoded_document_is_valid_or_errors_have_paths(self, value):
         try:
             document.from_plain(value)
         except document.InvalidDocumentError as error:
-            self.assertTrue(all(mistake.path for mistake in error.exceptions))
+            self.assertTrue(all(each.path for each in error.exceptions))
 
     @fuzzed
     @hypothesis.given(strategies.binary(max_size=80), strategies.sampled_from([".toml", ".json"]))
-    def test_any_file_is_valid_or_told_what_is_wrong(self, data, suffix):
+    def test_any_file_is_valid_or_raises_document_error(self, data, suffix):
         with contextlib.suppress(document.InvalidDocumentError):
             document.parse(data, suffix)
 
@@ -144,7 +144,7 @@
             strategies.text(max_size=20),
         )
     )
-    def test_any_flags_are_taken_or_told_what_is_wrong(self, flags):
+    def test_any_incomplete_flags_raise_settings_error(self, flags):
         with self.assertRaises(settings.InvalidSettingsError):
             settings.load(flags, {})
 
@@ -152,11 +152,11 @@
 class ReportTest(unittest.TestCase):
     @fuzzed
     @hypothesis.given(strategies.dictionaries(names, plain), strategies.text(max_size=5))
-    def test_a_report_with_more_fields_than_known_is_still_read(self, more, boot_id):
-        # A backend server of a newer version reports more than this system knows; refusing its
-        # report would take a healthy server out of service.
-        known = {"vm": "vm-1", "boot_id": boot_id, "running": 2}
-        body = json.dumps({**more, **known}).encode()
+    def test_report_with_unknown_fields_is_decoded(self, unknown_fields, boot_id):
+        # A backend server of a newer version reports fields that this version does not know.
+        # Rejecting its report would take a healthy server out of service.
+        known_fields = {"vm": "vm-1", "boot_id": boot_id, "running": 2}
+        body = json.dumps({**unknown_fields, **known_fields}).encode()
         report = codec.from_json(body, client.Report)
         self.assertEqual(("vm-1", boot_id, 2), (report.vm, report.boot_id, report.running))
 
@@ -164,33 +164,33 @@
 class ArrivalOrderTest(unittest.TestCase):
     @fuzzed
     @hypothesis.given(strategies.lists(deltas, max_size=8))
-    def test_the_number_in_force_never_falls(self, arriving):
-        held = holder.ConfigurationHolder()
-        for delta in arriving:
-            before = held.current.number
+    def test_configuration_number_never_decreases(self, received_deltas):
+        configuration = holder.ConfigurationHolder()
+        for delta in received_deltas:
+            before = configuration.current.number
             with contextlib.suppress(snapshot.SnapshotError):
-                held.apply(delta, "test")
-            self.assertGreaterEqual(held.current.number, before)
+                configuration.apply(delta, "test")
+            self.assertGreaterEqual(configuration.current.number, before)
 
     @fuzzed
     @hypothesis.given(strategies.permutations(range(1, 6)), strategies.integers(0, 4))
-    def test_entries_agree_whatever_comes_first(self, order, doubled):
-        # Each change is told as what a reader of the number before lacks, and the whole at the
-        # end, as peers do after a gap.
-        truth = [snapshot.Configuration()]
+    def test_entries_converge_whatever_the_order_of_deltas(self, order, repeated_index):
+        # Deltas arrive in any order and one arrives twice. The full configuration follows at the
+        # end, as peers send it after a gap.
+        expected = [snapshot.Configuration()]
         for number in range(1, 6):
             part = snapshot.Part(f"unknown/{number % 3}", number, b"{}")
-            truth.append(truth[-1].merged(snapshot.Delta(number - 1, number, (part,))))
-        held = holder.ConfigurationHolder()
-        for number in [*order, order[doubled]]:
+            expected.append(expected[-1].merged(snapshot.Delta(number - 1, number, (part,))))
+        configuration = holder.ConfigurationHolder()
+        for number in [*order, order[repeated_index]]:
             with contextlib.suppress(snapshot.SnapshotError):
-                held.apply(truth[number].delta_since(number - 1), "test")
-        held.apply(truth[5].delta_since(0), "test")
-        self.assertEqual(dict(truth[5].parts), dict(held.current.parts))
+                configuration.apply(expected[number].delta_since(number - 1), "test")
+        configuration.apply(expected[5].delta_since(0), "test")
+        self.assertEqual(dict(expected[5].parts), dict(configuration.current.parts))
 
     @fuzzed
     @hypothesis.given(strategies.lists(strategies.integers(0, 6), max_size=10))
-    def test_the_plan_of_a_domain_never_falls_back(self, revisions):
+    def test_plan_revision_of_a_domain_never_decreases(self, revisions):
         plans = plan.PlanHolder()
         for revision in revisions:
             domain = plan.DomainPlan("fabric-1", fencing=revision)
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""What an entry does that hears from nobody, and what an outage for everyone means."""
+"""Tests of entries that lose the key-value service, their peers, or both."""
 
 import unittest
 
@@ -37,10 +37,10 @@
         self.assertIn("retry-after", answer.headers)
 
     @test_revisions.on_test_clock
-    async def test_entry_cut_off_from_all_stops_new_work_and_finishes_the_rest(self):
-        # Entry 2 loses platform and peers without an error. It cannot know of a take-out any
-        # more, so within three seconds it starts nothing; what it has started ends well. When it
-        # hears from the others again it goes on.
+    async def test_isolated_entry_stops_new_work_and_finishes_requests_in_flight(self):
+        # Entry 2 loses platform and peers without an error. It can no longer learn that a zone
+        # was taken out of service, so within three seconds it must start no new work. Requests in
+        # flight succeed, and it serves again when it is reconnected.
         async with test_revisions.running() as site:
             await serving_site(site)
             site.backends.delay_s = 5
@@ -64,9 +64,9 @@
             await self.assert_serves(site, *NAMES)
 
     @test_revisions.on_test_clock
-    async def test_waiting_request_is_refused_once_the_entry_is_cut_off(self):
-        # All room is taken, so the request waits in the queue. Were it started when a slot
-        # comes free, it could go to an availability zone that was taken out long ago.
+    async def test_queued_request_is_refused_once_the_entry_is_isolated(self):
+        # All slots are in use, so the request is queued. If it were started when a slot becomes
+        # free, it could go to an availability zone that was taken out of service long before.
         async with test_revisions.running() as site:
             await test_revisions.apply(site, replicas=1)
             await trio.sleep(10)
@@ -81,7 +81,7 @@
                     await self.assert_refuses(site, "entry-2")
 
     @test_revisions.on_test_clock
-    async def test_serving_goes_on_when_the_platform_is_out_for_everyone(self):
+    async def test_entries_serve_during_a_platform_outage(self):
         async with test_revisions.running() as site:
             await serving_site(site)
             site.platform.set_mode("silent")
@@ -90,7 +90,7 @@
                 await self.assert_serves(site, *NAMES)
 
     @test_revisions.on_test_clock
-    async def test_minority_stops_and_majority_goes_on_without_the_platform(self):
+    async def test_minority_stops_and_majority_serves_during_a_platform_outage(self):
         async with test_revisions.running() as site:
             await serving_site(site)
             site.platform.set_mode("down")
@@ -100,10 +100,10 @@
             await self.assert_serves(site, "entry-1", "entry-2")
 
     @test_revisions.on_test_clock
-    async def test_two_of_five_that_hear_each_other_obey_a_take_out_they_cannot_know(self):
-        # The platform is out and a partition separates two entries from three. A zone is taken
-        # out on the larger side. The two still hear each other, but nothing tells them of it:
-        # having one peer is not enough to go on.
+    async def test_two_connected_entries_of_five_stop_in_a_partition(self):
+        # The platform is down and a partition separates two entries from three. A zone is taken
+        # out of service on the larger side. The two are still connected to each other but cannot
+        # learn of it: a connection to one peer must not be enough to continue.
         names = tuple(f"entry-{number}" for number in range(5))
         async with test_revisions.running(names) as site:
             await serving_site(site)
@@ -117,9 +117,10 @@
             await self.assert_serves(site, *names[2:])
 
     @test_revisions.on_test_clock
-    async def test_platform_alone_is_enough_and_a_dead_watch_hides_nothing(self):
-        # Entry 2 reaches no peer. Its watches died unnoticed and stay silent, while its other
-        # calls get through. It goes on serving, and obeys a take-out within three seconds.
+    async def test_entry_without_peers_serves_and_sees_changes_despite_dead_watches(self):
+        # Entry 2 reaches no peer. Its watches are dead without an error, while its other calls to
+        # the platform succeed. It must keep serving, and put a take-out in force within three
+        # seconds.
         async with test_revisions.running() as site:
             await serving_site(site)
             site.network.isolate("entry-2", NAMES)
@@ -132,7 +133,7 @@
             await self.assert_serves(site, "entry-2")
 
     @test_revisions.on_test_clock
-    async def test_short_loss_of_all_peers_refuses_nothing_while_the_platform_answers(self):
+    async def test_loss_of_all_peers_refuses_nothing_while_the_platform_answers(self):
         async with test_revisions.running() as site:
             await serving_site(site)
             site.network.isolate("entry-2", NAMES)
@@ -141,8 +142,8 @@
                 await self.assert_serves(site, "entry-2")
 
     @test_revisions.on_test_clock
-    async def test_sole_entry_goes_on_in_an_outage(self):
-        # Nobody else can have taken anything out.
+    async def test_only_entry_serves_during_a_platform_outage(self):
+        # No other entry exists that could have taken a zone out of service.
         async with test_revisions.running(("entry-0",)) as site:
             await serving_site(site)
             site.platform.set_mode("down")
@@ -150,8 +151,9 @@
             await self.assert_serves(site, "entry-0")
 
     @test_revisions.on_test_clock
-    async def test_one_of_two_stops_when_it_hears_neither_the_other_nor_the_platform(self):
-        # The other one may be alive beyond a partition, with an operator taking zones out there.
+    async def test_one_of_two_stops_when_it_loses_the_other_and_the_platform(self):
+        # The other entry may be alive on the far side of a partition, where an operator may take
+        # zones out of service.
         async with test_revisions.running(("entry-0", "entry-1")) as site:
             await serving_site(site)
             site.platform.set_mode("down")
@@ -162,9 +164,9 @@
             await self.assert_refuses(site, "entry-0")
 
     @test_revisions.on_test_clock
-    async def test_planned_stops_in_an_outage_do_not_cost_the_majority(self):
-        # Two of three entries stop as planned while the platform is out. They said so, and so
-        # they do not count as entries that might be alive elsewhere.
+    async def test_planned_stops_during_an_outage_do_not_lose_the_majority(self):
+        # Two of three entries stop as planned while the platform is down. They announced it, so
+        # they must not count as entries that may be alive behind a partition.
         async with test_revisions.running() as site:
             await serving_site(site)
             site.platform.set_mode("down")
@@ -176,9 +178,9 @@
 
 
 class PauseTest(unittest.TestCase):
-    def test_paused_entry_checks_before_it_starts_anything(self):
-        # The process stands still for ten seconds and a request is the first to run after that.
-        # All it knows is old; heartbeats from before the pause still wait in its sockets.
+    def test_resumed_entry_refuses_work_until_it_has_current_data(self):
+        # The process is paused for ten seconds and a request is the first task to run after that.
+        # All its data is outdated, and heartbeats from before the pause are still in its sockets.
         clock = trio.testing.MockClock(autojump_threshold=0)
         trio.run(self._pause, clock, clock=clock)
 
@@ -194,11 +196,12 @@
             answer = await chat(site, "entry-2")
             self.assertEqual(200, answer.status, answer.body)
 
-    def test_process_that_slept_through_a_take_out_sends_nothing_there(self):
-        # A real process is stopped, a zone is taken out, and requests come the moment it goes on.
-        trio.run(self._sleep_through)
+    def test_process_paused_during_a_take_out_routes_nothing_to_the_zone(self):
+        # A real process is paused, a zone is taken out of service, and requests arrive as soon as
+        # the process is resumed.
+        trio.run(self._take_out_during_pause)
 
-    async def _sleep_through(self):
+    async def _take_out_during_pause(self):
         site = sites.new_site(sites.log_folder(), ("zone-a", "zone-b"), 2, "releases", 0, 3)
         async with sites.running(site):
             document = sites.document_for(site, demo.SERVICES)
@@ -226,8 +229,9 @@
 
 class StoredRecordsTest(unittest.TestCase):
     @test_revisions.on_test_clock
-    async def test_malformed_record_ends_no_entry_and_changes_nothing(self):
-        # Somebody writes into the configuration's keys by hand. All entries read it at once.
+    async def test_malformed_record_crashes_no_entry_and_changes_nothing(self):
+        # Someone writes a malformed value to a configuration key by hand, and all entries read
+        # it at the same time.
         async with test_revisions.running() as site:
             await serving_site(site)
             outsider = site.platform.client("outsider")
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The configuration as numbered parts."""
+"""Tests of merging configuration deltas and of creating them."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 from toucanhold.configuration import snapshot
 
 
-def _out(number: int, *zones: str) -> snapshot.Part:
+def _zones_part(number: int, *zones: str) -> snapshot.Part:
     body = codec.to_json(snapshot.ZonesOut(zones))
     return snapshot.Part(snapshot.ZONES_PART, number, body)
 
@@ -16,21 +16,21 @@
     def setUp(self):
         self.configuration = state.sample_configuration(50)
 
-    def test_a_change_leaves_the_other_parts_as_they_are(self):
-        merged = self.configuration.merged(snapshot.Delta(1, 2, (_out(2, "zone-1"),)))
+    def test_change_keeps_the_other_parts(self):
+        merged = self.configuration.merged(snapshot.Delta(1, 2, (_zones_part(2, "zone-1"),)))
         self.assertEqual(frozenset({"zone-1"}), merged.zones_out)
         self.assertEqual(self.configuration.inventory, merged.inventory)
         name = f"{snapshot.INVENTORY_PREFIX}zone-1"
         self.assertIs(self.configuration.parts[name].decoded, merged.parts[name].decoded)
 
-    def test_a_deleted_part_takes_its_vms_along(self):
+    def test_deleted_part_removes_its_vms(self):
         part = snapshot.Part(f"{snapshot.INVENTORY_PREFIX}zone-1", 2, b"")
         merged = self.configuration.merged(snapshot.Delta(1, 2, (part,)))
         zones = {vm.availability_zone for vm in merged.inventory.vms}
         self.assertNotIn("zone-1", zones)
         self.assertEqual(10, len(zones))
 
-    def test_a_gap_an_older_and_a_malformed_delta_are_refused(self):
+    def test_gap_older_delta_and_malformed_parts_raise_snapshot_error(self):
         for delta in (
             snapshot.Delta(2, 3, ()),
             snapshot.Delta(0, 0, ()),
@@ -40,10 +40,10 @@
             with self.subTest(delta=delta), self.assertRaises(snapshot.SnapshotError):
                 self.configuration.merged(delta)
 
-    def test_a_reader_gets_only_what_it_lacks(self):
-        merged = self.configuration.merged(snapshot.Delta(1, 2, (_out(2, "zone-1"),)))
+    def test_delta_has_only_the_parts_changed_since(self):
+        merged = self.configuration.merged(snapshot.Delta(1, 2, (_zones_part(2, "zone-1"),)))
         delta = merged.delta_since(1)
         self.assertEqual([snapshot.ZONES_PART], [part.name for part in delta.parts])
         self.assertEqual(merged, self.configuration.merged(delta))
-        whole = snapshot.Configuration().merged(merged.delta_since(0))
-        self.assertEqual(merged, whole)
+        from_scratch = snapshot.Configuration().merged(merged.delta_since(0))
+        self.assertEqual(merged, from_scratch)
