--- a/toucanhold/codec.py
+++ b/toucanhold/codec.py
@@ -14,7 +14,7 @@
 T = typing.TypeVar("T")
 
 
-def _bytes(value: object, _: type) -> bytes:
+def _structure_bytes(value: object, _: type) -> bytes:
     # cattrs would call bytes(value), and bytes(n) allocates n bytes if a peer sends an integer.
     if not isinstance(value, bytes):
         raise TypeError(f"expected bytes, got {type(value).__name__}")
@@ -22,7 +22,7 @@
 
 
 for _converter in (CONVERTER, TOLERANT_CONVERTER):
-    _converter.register_structure_hook(bytes, _bytes)
+    _converter.register_structure_hook(bytes, _structure_bytes)
 
 
 class CodecError(Exception):
@@ -42,7 +42,7 @@
 
     :raises CodecError: on malformed JSON, missing fields or wrong types
     """
-    return from_plain_tolerant(_load(data), kind)
+    return from_plain_tolerant(_parse_json(data), kind)
 
 
 def from_json_strict(data: bytes, kind: type[T]) -> T:
@@ -50,7 +50,7 @@
 
     :raises CodecError: on malformed JSON, unknown or missing fields, or wrong types
     """
-    return from_plain(_load(data), kind)
+    return from_plain(_parse_json(data), kind)
 
 
 def from_plain(value: object, kind: type[T]) -> T:
@@ -61,7 +61,7 @@
     try:
         return CONVERTER.structure(value, kind)
     except (cattrs.BaseValidationError, ValueError, TypeError, KeyError, AttributeError) as error:
-        raise CodecError("; ".join(_describe(error))) from error
+        raise CodecError("; ".join(_error_texts(error))) from error
 
 
 def from_plain_tolerant(value: object, kind: type[T]) -> T:
@@ -72,7 +72,7 @@
     try:
         return TOLERANT_CONVERTER.structure(value, kind)
     except (cattrs.BaseValidationError, ValueError, TypeError, KeyError, AttributeError) as error:
-        raise CodecError("; ".join(_describe(error))) from error
+        raise CodecError("; ".join(_error_texts(error))) from error
 
 
 def pack_tagged(tag: str, value: object) -> bytes:
@@ -94,14 +94,14 @@
     return tag, plain
 
 
-def _load(data: bytes) -> object:
+def _parse_json(data: bytes) -> object:
     try:
         return json.loads(data)
     except (ValueError, RecursionError) as error:
         raise CodecError(f"not valid JSON: {error}") from error
 
 
-def _describe(error: Exception) -> list[str]:
+def _error_texts(error: Exception) -> list[str]:
     if isinstance(error, cattrs.BaseValidationError):
         return cattrs.transform_error(error)
     return [f"{type(error).__name__}: {error}"]
--- a/toucanhold/configuration/snapshot.py
+++ b/toucanhold/configuration/snapshot.py
@@ -178,14 +178,14 @@
     return {RULES_PART: rules.Rules, ZONES_PART: ZonesOut}.get(name)
 
 
-def encode_parts(wanted: document.Document) -> dict[str, bytes]:
+def encode_parts(new_document: document.Document) -> dict[str, bytes]:
     """Encode a document as JSON part bodies by part name; each availability zone has its own."""
     by_zone: dict[str, list[inventory.Vm]] = collections.defaultdict(list)
-    for vm in sorted(wanted.inventory.vms, key=lambda vm: vm.vm):
+    for vm in sorted(new_document.inventory.vms, key=lambda vm: vm.vm):
         by_zone[vm.availability_zone].append(vm)
     bodies = {
         INVENTORY_PREFIX + zone: codec.to_json(inventory.Inventory(tuple(vms)))
         for zone, vms in by_zone.items()
     }
-    bodies[RULES_PART] = codec.to_json(wanted.rules)
+    bodies[RULES_PART] = codec.to_json(new_document.rules)
     return bodies
--- a/toucanhold/configuration/store.py
+++ b/toucanhold/configuration/store.py
@@ -78,7 +78,7 @@
 
 
 @attrs.frozen
-class _StoredHead:
+class _VersionedHead:
     # The fields of Head with the store revision of its key; 0 and empty if there is none.
     number: int = 0
     attempt: str = ""
@@ -91,25 +91,27 @@
 
     client: keyvalue.KeyValueClient
 
-    async def read_delta(self, known: int, known_revision: int) -> tuple[snapshot.Delta, int]:
+    async def read_delta(
+        self, known_number: int, known_revision: int
+    ) -> tuple[snapshot.Delta, int]:
         """Return the changes since ``known_revision``, and the store revision that was read.
 
-        :param known: number of the configuration that the caller has
+        :param known_number: number of the configuration that the caller has
         :param known_revision: store revision at which that one was read; 0 to read everything
         :raises keyvalue.KeyValueError: when the key-value service does not answer
         :raises snapshot.SnapshotError: when a stored record is malformed
         """
         result = await self.client.read(PREFIX, known_revision + 1 if known_revision else 0)
-        number, parts = known, []
+        number, parts = known_number, []
         for item in result.items:
             if item.key == HEAD_KEY:
                 number = _decode_head(item).number
             else:
                 parts.append(_decode_part(item))
-        base = known if known_revision else 0
+        base = known_number if known_revision else 0
         return snapshot.Delta(base, number, tuple(parts)), result.revision
 
-    async def apply(self, wanted: document.Document, expected: int, author: str) -> int:
+    async def apply(self, new_document: document.Document, expected: int, author: str) -> int:
         """Replace inventory and rules.
 
         :param expected: number of the configuration on which the operator based the change
@@ -124,7 +126,7 @@
                 raise ConflictError(
                     f"expected configuration {expected}, but the accepted one is {current.number}"
                 )
-            bodies = snapshot.encode_parts(wanted)
+            bodies = snapshot.encode_parts(new_document)
             deleted = {
                 name: b""
                 for name, part in current.parts.items()
@@ -134,24 +136,24 @@
 
         return await self._commit_change(change, author)
 
-    async def make_durable(self, wanted: collections.abc.Sequence[holds.Hold]) -> int:
+    async def make_durable(self, pending_holds: collections.abc.Sequence[holds.Hold]) -> int:
         """Take the availability zones of unresolved holds out of service and resolve the holds.
 
         Unlike :meth:`apply` it has no expected number: it changes nothing else, so the changes of
         two operators who take out different availability zones both succeed. The operation is
         idempotent: of several entries with the same hold, only the first changes anything.
 
-        :param wanted: at least one hold
+        :param pending_holds: at least one hold
         :return: the number of the configuration that contains the change
         :raises StoreError: when the change took no effect, or that is not known
         """
 
         def change(current: snapshot.Configuration) -> dict[str, bytes]:
-            unresolved = [hold for hold in wanted if hold.hold not in current.resolved_holds]
+            unresolved = [hold for hold in pending_holds if hold.hold not in current.resolved_holds]
             zones = current.zones_out | {hold.availability_zone for hold in unresolved}
             return _encode_zones_part(current, zones, [hold.hold for hold in unresolved])
 
-        return await self._commit_change(change, wanted[0].author)
+        return await self._commit_change(change, pending_holds[0].author)
 
     async def return_zone(
         self, zone: str, resolved: collections.abc.Sequence[holds.Hold], author: str
@@ -201,7 +203,7 @@
                 return successor.number
         raise ConflictError("too many concurrent changes; try again")
 
-    async def _read_current(self) -> tuple[snapshot.Configuration, _StoredHead]:
+    async def _read_current(self) -> tuple[snapshot.Configuration, _VersionedHead]:
         try:
             result = await self.client.read(PREFIX)
         except keyvalue.KeyValueError as error:
@@ -257,12 +259,12 @@
         )
 
 
-def _decode_current(result: keyvalue.RangeResult) -> tuple[snapshot.Configuration, _StoredHead]:
-    head, parts = _StoredHead(), {}
+def _decode_current(result: keyvalue.RangeResult) -> tuple[snapshot.Configuration, _VersionedHead]:
+    head, parts = _VersionedHead(), {}
     for item in result.items:
         if item.key == HEAD_KEY:
             decoded = _decode_head(item)
-            head = _StoredHead(decoded.number, decoded.attempt, item.mod_revision)
+            head = _VersionedHead(decoded.number, decoded.attempt, item.mod_revision)
         else:
             part = _decode_part(item)
             parts[part.name] = part
