--- a/toucanhold/callers/app.py
+++ b/toucanhold/callers/app.py
@@ -107,7 +107,7 @@
             with self.body_memory.open_reservation() as reservation:
                 request = await self.reader.read(scope, receive, request_id, reservation)
                 await self._serve_while_connected(request, receive, send)
-        except asgi.ClientGoneError:
+        except asgi.ClientDisconnectedError:
             return
         except requests.RequestError as error:
             _log_error(request_id, error)
--- a/toucanhold/callers/measuring.py
+++ b/toucanhold/callers/measuring.py
@@ -36,7 +36,7 @@
         elif message["type"] == "http.response.body":
             self._is_complete = not message.get("more_body", False)
             if self._is_event_stream and message["body"]:
-                self.timer.note_events(message["body"].count(EVENT_START))
+                self.timer.record_events(message["body"].count(EVENT_START))
         await self.send(message)
 
     def finish(self) -> None:
--- a/toucanhold/callers/reading.py
+++ b/toucanhold/callers/reading.py
@@ -67,7 +67,8 @@
 
         :param reservation: accounts for the memory of the body
         :raises requests.RequestError: when the request is invalid or cannot be accepted now
-        :raises asgi.ClientGoneError: when the caller disconnected before the body was complete
+        :raises asgi.ClientDisconnectedError: when the caller disconnected before the body was
+            complete
         """
         refusal = self.permit.refusal()
         if refusal is not None:
--- a/toucanhold/cli/documents.py
+++ b/toucanhold/cli/documents.py
@@ -20,7 +20,7 @@
     def execute_command(self) -> exitstatus.ExitStatus:
         """See :class:`command.Command`."""
         checked_document = document.load(pathlib.Path(self.argument("file")))
-        self.print_result(checked_document, text.check(checked_document))
+        self.print_result(checked_document, text.validation_summary(checked_document))
         return exitstatus.ExitStatus.OK
 
 
@@ -97,7 +97,7 @@
             operator_command,
             entry_client,
             lambda current: not text.entries_behind(current, number),
-            functools.partial(text.in_force, number=number),
+            functools.partial(text.rollout_progress, number=number),
             wait_s,
         )
         if final_status is None:
--- a/toucanhold/cli/running.py
+++ b/toucanhold/cli/running.py
@@ -3,7 +3,7 @@
 import attrs
 import trio
 
-from toucanhold import entry, exitstatus, logs, outside, serving, settings
+from toucanhold import entry, exitstatus, external, logs, serving, settings
 from toucanhold.cli import command, definitions
 from toucanhold.peers import transport
 
@@ -38,7 +38,7 @@
 
 
 async def _run_entry(entry_settings: settings.EntrySettings) -> None:
-    await entry.EntryApplication(entry_settings, outside.from_settings(entry_settings)).run()
+    await entry.EntryApplication(entry_settings, external.from_settings(entry_settings)).run()
 
 
 def _flatten(group: BaseExceptionGroup) -> list[BaseException]:
--- a/toucanhold/gateway/exchange.py
+++ b/toucanhold/gateway/exchange.py
@@ -20,7 +20,7 @@
 import attrs
 import trio
 
-from toucanhold import waking
+from toucanhold import notifier
 from toucanhold.gateway import crashes, entries, findings, hierarchy, load, notices
 
 REPORT_INTERVAL_S = 0.1
@@ -60,7 +60,7 @@
     crashes: crashes.CrashTracker
     on_silent: collections.abc.Callable[[str, str], None]
     rng: random.Random
-    _urgent_signal: waking.Signal = attrs.field(factory=waking.Signal, init=False)
+    _urgent_signal: notifier.Notifier = attrs.field(factory=notifier.Notifier, init=False)
     _is_urgent: bool = attrs.field(default=False, init=False)
     _silence_reports: findings.SilenceReports = attrs.field(
         factory=findings.SilenceReports, init=False
@@ -277,7 +277,7 @@
 
     def _request_urgent_send(self) -> None:
         self._is_urgent = True
-        self._urgent_signal.wake()
+        self._urgent_signal.notify_all()
 
     def _warn_once(self, key: str, message: str) -> None:
         # Once per sender, so that a peer that repeats an invalid notice does not flood the log.
--- a/toucanhold/metrics.py
+++ b/toucanhold/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of an entry, by OpenTelemetry, in the form that usual scrapers read."""
+"""OpenTelemetry metrics of an entry, exposed in the Prometheus text format."""
 
 import collections.abc
 import math
@@ -18,25 +18,25 @@
 FIRST_TOKEN_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 0.98, 1.25, 2.5, 5.0, 10.0)
 TOKEN_BUCKETS_S = (0.001, 0.0025, 0.005, 0.01, 0.02, 0.03, 0.04, 0.048, 0.06, 0.1, 0.25, 1.0)
 
-Observed = collections.abc.Iterable[tuple[float, dict[str, str]]]
+Observations = collections.abc.Iterable[tuple[float, dict[str, str]]]
 
 
 @attrs.define(eq=False)
 class Metrics:
     """The instruments of one entry.
 
-    :ivar entry: name of the entry, told as ``service.instance.id``
+    :ivar entry: name of the entry, exported as ``service.instance.id``
     """
 
     entry: str
     _registry: prometheus_client.CollectorRegistry = attrs.field(init=False)
     _meter: api.Meter = attrs.field(init=False)
     _request_duration_s: api.Histogram = attrs.field(init=False)
-    _first_token_s: api.Histogram = attrs.field(init=False)
-    _token_s: api.Histogram = attrs.field(init=False)
+    _time_to_first_token_s: api.Histogram = attrs.field(init=False)
+    _time_per_token_s: api.Histogram = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Create the instruments; names follow the semantic conventions where there are any."""
+        """Create the instruments; names follow OpenTelemetry's conventions where there are any."""
         self._registry = prometheus_client.CollectorRegistry()
         reader = prometheus.PrometheusMetricReader(
             registry=self._registry, scope_info_enabled=False
@@ -49,19 +49,24 @@
         self._request_duration_s = self._meter.create_histogram(
             "http.server.request.duration", "s", "Time to answer callers' requests"
         )
-        self._first_token_s = self._meter.create_histogram(
+        self._time_to_first_token_s = self._meter.create_histogram(
             "gen_ai.server.time_to_first_token", "s", "Time to a stream's first event"
         )
-        self._token_s = self._meter.create_histogram(
+        self._time_per_token_s = self._meter.create_histogram(
             "gen_ai.server.time_per_output_token", "s", "Mean time between a stream's events"
         )
 
-    def observe(
-        self, name: str, unit: str, description: str, read: collections.abc.Callable[[], Observed]
+    def add_gauge(
+        self,
+        name: str,
+        unit: str,
+        description: str,
+        read: collections.abc.Callable[[], Observations],
     ) -> None:
-        """Add a gauge that is read when a scraper asks.
+        """Add a gauge that is read at each scrape.
 
-        :param read: returns values with their attributes
+        :param unit: UCUM unit
+        :param read: returns the current values with their attributes
         """
 
         def callback(options: api.CallbackOptions) -> list[api.Observation]:
@@ -69,12 +74,17 @@
 
         self._meter.create_observable_gauge(name, [callback], unit, description)
 
-    def count(
-        self, name: str, unit: str, description: str, read: collections.abc.Callable[[], Observed]
+    def add_counter(
+        self,
+        name: str,
+        unit: str,
+        description: str,
+        read: collections.abc.Callable[[], Observations],
     ) -> None:
-        """Add a counter that is read when a scraper asks.
+        """Add a counter that is read at each scrape.
 
-        :param read: returns totals since the start with their attributes
+        :param unit: UCUM unit
+        :param read: returns the totals since the start with their attributes
         """
 
         def callback(options: api.CallbackOptions) -> list[api.Observation]:
@@ -83,17 +93,22 @@
         self._meter.create_observable_counter(name, [callback], unit, description)
 
     def new_timer(self, method: str, route: str) -> "RequestTimer":
-        """Return a timer for one request of a caller."""
+        """Return a timer for a request that starts now.
+
+        :param method: HTTP method
+        :param route: route of the request, not its path, so that the number of values is bounded
+        """
         return RequestTimer(self, method, route, trio.current_time())
 
     def exposition(self) -> bytes:
-        """Return all values in the text format of :data:`CONTENT_TYPE`."""
+        """Return all metrics in the text format of :data:`CONTENT_TYPE`."""
         return prometheus_client.generate_latest(self._registry)
 
     def record(self, timer: "RequestTimer", status: int, answer: str) -> None:
-        """Take in a finished request.
+        """Record a finished request.
 
-        :param answer: whether the answer was whole
+        :param status: HTTP status code
+        :param answer: value of the ``toucanhold.answer`` attribute: how the answer ended
         """
         now_s = trio.current_time()
         attributes = {
@@ -105,15 +120,21 @@
         self._request_duration_s.record(now_s - timer.started_at_s, attributes)
         if math.isfinite(timer.first_event_at_s):
             route = {"http.route": timer.route}
-            self._first_token_s.record(timer.first_event_at_s - timer.started_at_s, route)
+            self._time_to_first_token_s.record(timer.first_event_at_s - timer.started_at_s, route)
             if timer.events > 1:
                 streamed_s = timer.last_event_at_s - timer.first_event_at_s
-                self._token_s.record(streamed_s / (timer.events - 1), route)
+                self._time_per_token_s.record(streamed_s / (timer.events - 1), route)
 
 
 @attrs.define(eq=False)
 class RequestTimer:
-    """Times one request; a stream's tokens cost one record for all of them."""
+    """Measures one request; the token times of a stream are recorded once, as their mean.
+
+    :ivar started_at_s: when the request started, by trio's clock
+    :ivar first_event_at_s: when the first events were forwarded; infinite before
+    :ivar last_event_at_s: when the latest events were forwarded; infinite before
+    :ivar events: number of forwarded events
+    """
 
     metrics: Metrics
     method: str
@@ -123,8 +144,8 @@
     last_event_at_s: float = math.inf
     events: int = 0
 
-    def note_events(self, count: int) -> None:
-        """Count events of a stream that were passed on now."""
+    def record_events(self, count: int) -> None:
+        """Record that ``count`` events of a stream are being forwarded now."""
         now_s = trio.current_time()
         if not self.events:
             self.first_event_at_s = now_s
@@ -132,7 +153,7 @@
         self.events += count
 
     def finish(self, status: int, answer: str) -> None:
-        """Record the request."""
+        """Record the request as finished now; see :meth:`Metrics.record`."""
         self.metrics.record(self, status, answer)
 
 
--- a/toucanhold/operators/app.py
+++ b/toucanhold/operators/app.py
@@ -72,7 +72,7 @@
         except _OperatorError as error:
             body, code = codec.to_json(error.answer), error.status_code
             _log_refusal(scope, error)
-        except asgi.ClientGoneError:
+        except asgi.ClientDisconnectedError:
             return
         except Exception as error:
             # Without this, the ASGI server would send a 500 without a body. Whether the change was
@@ -157,7 +157,7 @@
 
 def _validate(new_document: document.Document) -> None:
     try:
-        document.check(new_document)
+        document.validate(new_document)
     except document.InvalidDocumentError as error:
         mistakes = tuple(str(mistake) for mistake in error.exceptions)
         answer = messages.ErrorAnswer("invalid", error.message, mistakes)
@@ -178,7 +178,7 @@
         return await change
     except store.ConflictError as error:
         raise _error(409, CONFLICT, str(error)) from error
-    except store.NotAcceptedError as error:
+    except store.ServiceUnavailableError as error:
         raise _error(503, "unavailable", str(error)) from error
     except store.UnreadableError as error:
         raise _error(500, "unreadable", str(error)) from error
--- a/toucanhold/operators/changes.py
+++ b/toucanhold/operators/changes.py
@@ -60,9 +60,9 @@
                 await self.refresh()
             except keyvalue.KeyValueError as error:
                 LOGGER.debug("comparing with a possibly outdated configuration: %s", error)
-        current, base = self.configuration.accepted, self.configuration.former(expected)
+        current, base = self.configuration.accepted, self.configuration.find_accepted(expected)
         if base is None:
-            return difference.since(expected, current)
+            return difference.parts_changed_since(expected, current)
         return difference.between(base, current)
 
     async def take_zone_out(self, zone: str, author: str) -> messages.ChangeAnswer:
--- a/toucanhold/peers/revisions.py
+++ b/toucanhold/peers/revisions.py
@@ -119,7 +119,7 @@
         try:
             self.configuration.apply(message.delta, f"{SOURCE} {peer}")
         except snapshot.SnapshotError as error:
-            self.reader.note_unreadable(f"{SOURCE} {peer}", error)
+            self.reader.record_unreadable(f"{SOURCE} {peer}", error)
             if message.delta.base:
                 # The delta does not apply to the current parts: request all of them.
                 self.exchange.send(peer, messages.ConfigurationAsk(0))
--- a/toucanhold/replicas/driver.py
+++ b/toucanhold/replicas/driver.py
@@ -7,7 +7,7 @@
 import attrs
 import trio
 
-from toucanhold import events, waking
+from toucanhold import events, notifier
 from toucanhold.registry import registry, servers
 from toucanhold.replicas import order_sender, orders, plan, records
 
@@ -50,7 +50,7 @@
     plan_writer: plan.PlanWriter
     server_registry: registry.Registry
     order_sender: order_sender.OrderSender
-    changed: waking.Signal
+    changed: notifier.Notifier
     stall_s: float
     _started_at_s: float = attrs.field(factory=trio.current_time, init=False)
     _last_order_s: dict[str, float] = attrs.field(factory=dict, init=False)
--- a/toucanhold/replicas/planner.py
+++ b/toucanhold/replicas/planner.py
@@ -9,7 +9,7 @@
 import attrs
 import trio
 
-from toucanhold import events, waking
+from toucanhold import events, notifier
 from toucanhold.coordination import lease, mirror
 from toucanhold.registry import registry, servers
 from toucanhold.replicas import (
@@ -62,7 +62,7 @@
     stall_s: float
     order_sender: order_sender.OrderSender = attrs.field(init=False)
     prober: probing.Prober = attrs.field(init=False)
-    _changed: waking.Signal = attrs.field(factory=waking.Signal, init=False)
+    _changed: notifier.Notifier = attrs.field(factory=notifier.Notifier, init=False)
     _driven_groups: set[str] = attrs.field(factory=set, init=False)
     _last_preload_s: dict[tuple[str, int], float] = attrs.field(factory=dict, init=False)
     _last_arrival_s: float = attrs.field(default=0.0, init=False)
@@ -78,11 +78,11 @@
             self.engine_client, self.server_registry, self._fence
         )
         self.prober = probing.Prober(
-            self.group_table, self.server_registry, self.order_sender, self._changed.wake
+            self.group_table, self.server_registry, self.order_sender, self._changed.notify_all
         )
-        self.server_registry.add_listener(self._changed.wake)
-        self.kv_mirror.add_listener(records.GROUPS_PREFIX, lambda keys: self._changed.wake())
-        self.kv_mirror.add_listener(plan.PLANNER_KEY, lambda keys: self._changed.wake())
+        self.server_registry.add_listener(self._changed.notify_all)
+        self.kv_mirror.add_listener(records.GROUPS_PREFIX, lambda keys: self._changed.notify_all())
+        self.kv_mirror.add_listener(plan.PLANNER_KEY, lambda keys: self._changed.notify_all())
 
     def may_act(self) -> bool:
         """Return whether this entry is the planner and has seen all earlier planners' writes."""
@@ -91,7 +91,7 @@
     def suspect(self, server_id: str) -> None:
         """Probe a head that stopped responding to this or another entry."""
         self.prober.suspect(server_id)
-        self._changed.wake()
+        self._changed.notify_all()
 
     async def run(self) -> None:
         """Plan until cancelled."""
