--- a/standins/engine.py
+++ b/standins/engine.py
@@ -85,9 +85,9 @@
         return {name: getattr(self, name) for name in names}
 
 
-def refusal(status: int, kind: str) -> serving.AnswerError:
+def refusal(status: int, kind: str) -> serving.HttpError:
     """Return an error in the OpenAI shape."""
-    return serving.AnswerError(status, {"error": {"type": kind, "message": kind}})
+    return serving.HttpError(status, {"error": {"type": kind, "message": kind}})
 
 
 class Engine:
@@ -166,11 +166,11 @@
         self.orders.append({"order": kind, "fencing": fencing, "accepted": not stale})
         if stale:
             data = {"error": "stale_fencing", "highest_fencing": self.highest_fencing}
-            raise serving.AnswerError(409, data)
+            raise serving.HttpError(409, data)
         if kind == "join":
             names = [field.name for field in attrs.fields(Group)][:-1]
             if missing := [name for name in names if name not in order]:
-                raise serving.AnswerError(400, {"error": f"missing {missing}"})
+                raise serving.HttpError(400, {"error": f"missing {missing}"})
             self.leave()
             loaded_s = trio.current_time() + self.settings.load_s
             self.place = Group(**{name: order[name] for name in names}, loaded_s=loaded_s)
@@ -181,7 +181,7 @@
         elif kind == "drain":
             self.leaving = True
         elif kind != "load_adapter":
-            raise serving.AnswerError(400, {"error": "unknown_order"})
+            raise serving.HttpError(400, {"error": "unknown_order"})
         self.highest_fencing = max(self.highest_fencing, fencing)
 
     def leave(self) -> None:
@@ -290,9 +290,9 @@
         """Answer one request."""
         if exchange.path == "/standin/faults":
             self.set_faults(exchange.json())
-            await exchange.answer(200, attrs.asdict(self.faults))
+            await exchange.respond(200, attrs.asdict(self.faults))
         elif exchange.path == "/standin/history":
-            await exchange.answer(200, self.engine.history())
+            await exchange.respond(200, self.engine.history())
         else:
             with trio.CancelScope() as scope:
                 self.engine.request_scopes.add(scope)
@@ -301,7 +301,7 @@
                 finally:
                     self.engine.request_scopes.discard(scope)
             if scope.cancelled_caught:
-                raise serving.CutError
+                raise serving.DropConnectionError
 
     def set_faults(self, settings: dict[str, typing.Any]) -> None:
         """Change the faults that are named; `turn_cold` and `leaving` act at once."""
@@ -312,15 +312,15 @@
         try:
             self.faults = attrs.evolve(self.faults, **settings)
         except TypeError as reason:
-            raise serving.AnswerError(400, {"error": str(reason)}) from None
+            raise serving.HttpError(400, {"error": str(reason)}) from None
 
     async def _handle(self, exchange: serving.Exchange) -> None:
         if self.engine.gone():
-            raise serving.CutError
+            raise serving.DropConnectionError
         await self._hold()
         await trio.sleep(self.faults.slow_s)
         if exchange.path == "/health":
-            await exchange.answer(200, {"status": "ok"})
+            await exchange.respond(200, {"status": "ok"})
         elif exchange.path == "/v1/load":
             await self._answer_late(exchange, self.engine.load())
         elif (exchange.method, exchange.path) == ("POST", "/v1/orders"):
@@ -338,7 +338,7 @@
     async def _answer_late(self, exchange: serving.Exchange, data: dict) -> None:
         await trio.sleep(self.faults.late_answers)
         await self._hold()
-        await exchange.answer(200, data)
+        await exchange.respond(200, data)
 
     async def _chat(self, exchange: serving.Exchange) -> None:
         request = exchange.json()
@@ -358,12 +358,12 @@
                     nursery.start_soon(leave)
                     await answer(exchange, run)
                     nursery.cancel_scope.cancel()
-        except* serving.CutError:
+        except* serving.DropConnectionError:
             pass
         finally:
             self.engine.run_scopes.discard(scope)
         if not run.finished:
-            raise serving.CutError
+            raise serving.DropConnectionError
 
     def _answer_id(self, run: Run) -> str:
         if self.faults.wrong_request_id > 0:
@@ -390,7 +390,7 @@
             "usage": {"completion_tokens": len(tokens)},
         }
         run.finished = True
-        await exchange.answer(200, data, {"x-request-id": answer_id})
+        await exchange.respond(200, data, {"x-request-id": answer_id})
 
     async def _stream(self, exchange: serving.Exchange, run: Run) -> None:
         answer_id = ""
@@ -404,12 +404,12 @@
                 "model": run.model,
                 "choices": [{"index": 0, "delta": delta, "finish_reason": reason}],
             }
-            await exchange.send_part(f"{prefix}data: {json.dumps(data)}\n\n".encode())
+            await exchange.send_chunk(f"{prefix}data: {json.dumps(data)}\n\n".encode())
 
         async def start() -> None:
             nonlocal answer_id
             answer_id = self._answer_id(run)
-            await exchange.start("text/event-stream", {"x-request-id": answer_id})
+            await exchange.start_response("text/event-stream", {"x-request-id": answer_id})
 
         async def emit(index: int, token: str) -> None:
             await self._hold()
@@ -417,12 +417,12 @@
                 await start()
             await send(f"id: {index}\n", {"content": token}, None)
             if run.tokens == cut_after:
-                raise serving.CutError
+                raise serving.DropConnectionError
 
         await self.engine.generate(run, emit)
         if not answer_id:
             await start()
         await send("", {}, "stop")
-        await exchange.send_part(b"data: [DONE]\n\n")
+        await exchange.send_chunk(b"data: [DONE]\n\n")
         run.finished = True
-        await exchange.finish()
+        await exchange.finish_response()
--- a/standins/memory.py
+++ b/standins/memory.py
@@ -1,4 +1,4 @@
-"""The key-value service and peers' streams in memory, for tests on trio's test clock."""
+"""In-memory key-value service and peer network, for tests on trio's mock clock."""
 
 from __future__ import annotations
 
@@ -17,80 +17,82 @@
 from toucanhold.peers import transport
 
 EXPIRY_INTERVAL_S = 0.1
-EVERYTHING = ""
-LOSABLE = ("kv/txn", "lease/grant", "lease/revoke", "lease/keepalive")
+ALL_KEYS_PREFIX = ""
+LOSABLE_CALL_KINDS = ("kv/txn", "lease/grant", "lease/revoke", "lease/keepalive")
 
 
 @attrs.define
 class Faults:
-    """What one client of the key-value service meets.
+    """Faults injected into the calls of one client of the key-value service.
 
     :ivar mode: ``up``, ``down`` (refuses at once), ``silent`` (never answers) or ``slow``
-    :ivar delay_s: time of a call while slow
-    :ivar lose_answers: number of coming writes that take effect without an answer
-    :ivar lose_requests: number of coming writes that get lost with an unclear end
-    :ivar lose_kinds: the kinds of calls that may be lost
-    :ivar silent_watches: watches tell nothing, as on a connection that died unnoticed
+    :ivar delay_s: duration of each call while the mode is ``slow``, seconds
+    :ivar lose_answers: number of next calls that take effect but whose response is lost
+    :ivar lose_requests: number of next calls that are lost before they take effect; the client
+        cannot tell
+    :ivar lose_kinds: kinds of calls that may be lost
+    :ivar silent_watches: watches report no events, as on a connection that broke unnoticed
     """
 
     mode: str = "up"
     delay_s: float = 0.5
     lose_answers: int = 0
     lose_requests: int = 0
-    lose_kinds: tuple[str, ...] = LOSABLE
+    lose_kinds: tuple[str, ...] = LOSABLE_CALL_KINDS
     silent_watches: bool = False
 
 
 @attrs.define(eq=False)
 class MemoryPlatform:
-    """One store with any number of clients.
+    """One in-memory key-value store with any number of clients.
 
-    :ivar calls: number of calls by client and kind
+    :ivar faults: injected faults by client name
+    :ivar calls: number of calls by client name and kind
     """
 
     store: keyvalue.Store = attrs.field(factory=keyvalue.Store)
     faults: dict[str, Faults] = attrs.field(factory=dict)
     calls: collections.Counter[tuple[str, str]] = attrs.field(factory=collections.Counter)
-    _mode: str = "up"
+    _default_mode: str = "up"
 
     def client(self, name: str) -> MemoryClient:
-        """Return a client with faults of its own."""
-        self.faults.setdefault(name, Faults(self._mode))
+        """Return a client that has its own injected faults."""
+        self.faults.setdefault(name, Faults(self._default_mode))
         return MemoryClient("http://memory", name, platform=self)
 
-    def mirrored(self, name: str) -> MirroredClient:
-        """Return a client that also tells what has changed."""
-        self.faults.setdefault(name, Faults(self._mode))
-        return MirroredClient("http://memory", name, platform=self)
+    def change_source(self, name: str) -> MemoryChangeSource:
+        """Return a client that also reports changes; it has its own injected faults."""
+        self.faults.setdefault(name, Faults(self._default_mode))
+        return MemoryChangeSource("http://memory", name, platform=self)
 
     def set_mode(self, mode: str, *names: str) -> None:
-        """Set the mode of the named clients; by default of all, those to come among them."""
+        """Set the mode of the named clients, or of all present and future clients."""
         for name in names or list(self.faults):
             self.faults[name].mode = mode
         if not names:
             if self._is_down() and mode in ("up", "slow"):
-                # As etcd does when a leader takes over: leases do not run out in an outage.
+                # etcd extends all leases after a leader election, so none expires in an outage.
                 self.store.renew_leases()
-            self._mode = mode
+            self._default_mode = mode
 
     def expire(self) -> None:
-        """End the leases whose time is over."""
+        """Revoke expired leases, unless the whole store is down."""
         if not self._is_down():
             self.store.expire()
 
     def _is_down(self) -> bool:
-        return self._mode in ("down", "silent")
+        return self._default_mode in ("down", "silent")
 
 
 @attrs.define(eq=False)
 class MemoryClient(etcd.EtcdClient):
-    """The etcd client's own encoding and decoding, without HTTP."""
+    """An etcd client that encodes and decodes as usual but calls the store without HTTP."""
 
     platform: MemoryPlatform = attrs.field(kw_only=True)
 
     @property
     def faults(self) -> Faults:
-        """The faults that this client meets."""
+        """Faults injected into this client's calls."""
         return self.platform.faults[self.client_name]
 
     async def close(self) -> None:
@@ -101,50 +103,53 @@
     async def watch(self, prefix: str, start_revision: int):
         """See :class:`contract.KeyValueClient`."""
         self.platform.calls[self.client_name, "watch"] += 1
-        await self._meet_faults()
-        yield self._revisions(prefix, start_revision)
+        await self._apply_faults()
+        yield self._watched_revisions(prefix, start_revision)
 
-    async def _revisions(self, prefix: str, following: int):
+    async def _watched_revisions(self, prefix: str, next_revision: int):
         store = self.platform.store
         start, end = etcd.prefix_range(prefix)
         while True:
             self.platform.expire()
             if self.faults.mode == "down":
-                raise contract.IndeterminateError("the watch was cut")
-            if following < store.compact_revision:
-                raise contract.CompactedError("compacted")
+                raise contract.IndeterminateError("the watch connection was lost")
+            if next_revision < store.compact_revision:
+                raise contract.CompactedError(
+                    f"revision {next_revision} is older than the compact revision "
+                    f"{store.compact_revision}"
+                )
             changed, latest = store.changed, store.revision
             if self.faults.mode != "silent" and not self.faults.silent_watches:
-                for revision, _ in store.events_from(following, start, end):
+                for revision, _ in store.events_since(next_revision, start, end):
                     yield revision
-                following = max(following, latest + 1)
+                next_revision = max(next_revision, latest + 1)
             with trio.move_on_after(EXPIRY_INTERVAL_S):
                 await changed.wait()
 
     async def _call(self, path: str, body: dict) -> dict:
         kind = path.removeprefix("/v3/")
         self.platform.calls[self.client_name, kind] += 1
-        await self._meet_faults()
+        await self._apply_faults()
         faults = self.faults
         losable = kind in faults.lose_kinds
         if losable and faults.lose_requests:
             faults.lose_requests -= 1
-            raise contract.IndeterminateError("the request was lost")
+            raise contract.IndeterminateError(f"{path}: the request was lost")
         self.platform.expire()
         try:
             answer = self.platform.store.call(kind.removeprefix("kv/"), body)
-        except serving.AnswerError as error:
+        except serving.HttpError as error:
             raise contract.IndeterminateError(f"{path}: {error}") from error
         if losable and faults.lose_answers:
             faults.lose_answers -= 1
-            raise contract.IndeterminateError("the answer was lost")
+            raise contract.IndeterminateError(f"{path}: the response was lost")
         return answer
 
-    async def _meet_faults(self) -> None:
+    async def _apply_faults(self) -> None:
         await trio.lowlevel.checkpoint()
         mode, delay_s = self.faults.mode, self.faults.delay_s
         if mode == "down":
-            raise contract.UnavailableError("refused")
+            raise contract.UnavailableError("the key-value service refused the connection")
         if mode == "silent" or (mode == "slow" and delay_s > self.call_timeout_s):
             await trio.sleep(self.call_timeout_s)
             raise contract.IndeterminateError("no answer in time")
@@ -153,130 +158,142 @@
 
 
 @attrs.define(eq=False)
-class MirroredClient(MemoryClient, watching.ChangeSource):
-    """A client that also tells what has changed."""
+class MemoryChangeSource(MemoryClient, watching.ChangeSource):
+    """An in-memory client that also reports changes."""
 
     async def read_all(self, may_be_stale: bool) -> contract.RangeResult:
         """See :class:`watching.ChangeSource`."""
-        return await self.read(EVERYTHING)
+        return await self.read(ALL_KEYS_PREFIX)
 
     async def read_changes(self, after_revision: int, wait_s: float) -> mirror.Changes:
         """See :class:`watching.ChangeSource`."""
         self.platform.calls[self.client_name, "watch"] += 1
-        await self._meet_faults()
-        async with self.watch(EVERYTHING, after_revision + 1) as revisions:
+        await self._apply_faults()
+        async with self.watch(ALL_KEYS_PREFIX, after_revision + 1) as revisions:
             with trio.move_on_after(wait_s):
                 async for _ in revisions:
                     break
-        return await self._changes(after_revision)
+        return await self._changes_after(after_revision)
 
-    async def _changes(self, after_revision: int) -> mirror.Changes:
+    async def _changes_after(self, after_revision: int) -> mirror.Changes:
         store = self.platform.store
         if self.faults.mode == "silent":
             raise contract.IndeterminateError("no answer in time")
         if self.faults.silent_watches:
             return mirror.Changes(after_revision, after_revision)
-        # What happens while the items are read belongs to the next answer.
+        # Changes made while the items are read are reported by the next call.
         revision = store.revision
-        touched = {
+        changed_revisions = {
             base64.b64decode(event["kv"]["key"]).decode(): changed
-            for changed, events in store.events_from(
-                after_revision + 1, *etcd.prefix_range(EVERYTHING)
+            for changed, events in store.events_since(
+                after_revision + 1, *etcd.prefix_range(ALL_KEYS_PREFIX)
             )
             for event in events
         }
-        present = {item.key: item for item in (await self.read(EVERYTHING)).items}
+        present = {item.key: item for item in (await self.read(ALL_KEYS_PREFIX)).items}
         return mirror.Changes(
             after_revision,
             revision,
-            tuple(present[key] for key in sorted(touched.keys() & present.keys())),
+            tuple(present[key] for key in sorted(changed_revisions.keys() & present.keys())),
             tuple(
-                mirror.Deletion(key, touched[key])
-                for key in sorted(touched.keys() - present.keys())
+                mirror.Deletion(key, changed_revisions[key])
+                for key in sorted(changed_revisions.keys() - present.keys())
             ),
         )
 
 
 @attrs.define(eq=False)
 class MemoryNetwork:
-    """Streams between named hosts; pairs of hosts can be cut off from each other silently."""
+    """Streams between named hosts, with injected partitions that lose data without an error."""
 
     _listeners: dict[str, tuple[str, transport.Handler, trio.Nursery]] = attrs.field(factory=dict)
-    _cut: set[frozenset[str]] = attrs.field(factory=set)
-    _one_way: set[tuple[str, str]] = attrs.field(factory=set)
-    _streams: list[_CuttableStream] = attrs.field(factory=list)
+    _partitions: set[frozenset[str]] = attrs.field(factory=set)
+    _blocked_connections: set[tuple[str, str]] = attrs.field(factory=set)
+    _streams: list[_LossyStream] = attrs.field(factory=list)
 
     def transport(self, name: str) -> MemoryTransport:
-        """Return one host's transport."""
+        """Return the transport of one host."""
         return MemoryTransport(self, name)
 
-    def cut(self, one: str, other: str) -> None:
-        """Lose everything between two hosts from now on, without an error."""
-        self._cut.add(frozenset((one, other)))
+    def partition(self, first_host: str, second_host: str) -> None:
+        """Lose all data and connections between two hosts from now on, without an error."""
+        self._partitions.add(frozenset((first_host, second_host)))
         for stream in self._streams:
-            if stream.pair == frozenset((one, other)):
-                stream.lossy = True
+            if stream.hosts == frozenset((first_host, second_host)):
+                stream.is_lossy = True
 
     def isolate(self, name: str, others: collections.abc.Iterable[str]) -> None:
-        """Cut one host off from all ``others``."""
+        """Partition one host from all ``others``."""
         for other in others:
             if other != name:
-                self.cut(name, other)
+                self.partition(name, other)
 
-    def streams(self) -> list[_CuttableStream]:
-        """Return both ends of each stream that was ever opened."""
+    def streams(self) -> list[_LossyStream]:
+        """Return both ends of every stream opened so far, closed ones included."""
         return list(self._streams)
 
-    def refuse(self, source: str, destination: str) -> None:
-        """Let no new connection from ``source`` to ``destination`` through."""
-        self._one_way.add((source, destination))
+    def block_connections(self, source: str, destination: str) -> None:
+        """Let new connections from ``source`` to ``destination`` hang; open ones stay."""
+        self._blocked_connections.add((source, destination))
 
     def heal(self) -> None:
-        """Let new streams through everywhere."""
-        self._cut.clear()
-        self._one_way.clear()
+        """Remove all partitions for new connections; existing streams stay lossy."""
+        self._partitions.clear()
+        self._blocked_connections.clear()
 
     def listen(
         self, address: str, name: str, handler: transport.Handler, nursery: trio.Nursery
     ) -> None:
-        """Register a listener."""
+        """Register a listener.
+
+        :param name: host that listens
+        :param nursery: runs ``handler`` for each accepted stream
+        :raises transport.TransportError: when the address is in use
+        """
         if address in self._listeners:
-            raise transport.TransportError(f"{address} is in use")
+            raise transport.TransportError(f"cannot listen on {address}: the address is in use")
         self._listeners[address] = (name, handler, nursery)
 
-    def forget(self, address: str) -> None:
+    def remove_listener(self, address: str) -> None:
         """Remove a listener."""
         del self._listeners[address]
 
     async def connect(self, source: str, address: str) -> trio.abc.Stream:
-        """Open a stream."""
+        """Open a stream from host ``source``; hangs while the hosts are partitioned.
+
+        :raises transport.TransportError: when nothing listens on ``address``
+        """
         await trio.lowlevel.checkpoint()
         if address not in self._listeners:
             raise transport.TransportError(f"nothing listens on {address}")
         name, handler, nursery = self._listeners[address]
-        pair = frozenset((source, name))
-        if pair in self._cut or (source, name) in self._one_way:
+        hosts = frozenset((source, name))
+        if hosts in self._partitions or (source, name) in self._blocked_connections:
             await trio.sleep_forever()
-        near, far = trio.testing.memory_stream_pair()
-        streams = _CuttableStream(near, pair), _CuttableStream(far, pair)
+        client_end, server_end = trio.testing.memory_stream_pair()
+        streams = _LossyStream(client_end, hosts), _LossyStream(server_end, hosts)
         self._streams += streams
         nursery.start_soon(handler, streams[1])
         return streams[0]
 
 
 @attrs.define(eq=False)
-class _CuttableStream(trio.abc.Stream):
-    """A memory stream that can begin to lose everything."""
+class _LossyStream(trio.abc.Stream):
+    """A memory stream that can be made to lose all data.
+
+    :ivar hosts: names of the two hosts that it connects
+    :ivar is_lossy: whether data is lost from now on
+    """
 
     inner: trio.abc.Stream
-    pair: frozenset[str]
-    lossy: bool = False
+    hosts: frozenset[str]
+    is_lossy: bool = False
     is_closed: bool = False
 
     async def send_all(self, data: bytes) -> None:
-        """Send, or lose."""
+        """Send the data, or drop it while the stream is lossy."""
         await trio.lowlevel.checkpoint()
-        if not self.lossy:
+        if not self.is_lossy:
             await self.inner.send_all(data)
 
     async def wait_send_all_might_not_block(self) -> None:
@@ -284,21 +301,24 @@
         await trio.lowlevel.checkpoint()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Receive; the end of a lossy stream does not get through either."""
+        """Receive data; the end of a lossy stream is lost too, so the call then hangs."""
         data = await self.inner.receive_some(max_bytes)
-        if self.lossy and not data:
+        if self.is_lossy and not data:
             await trio.sleep_forever()
         return data
 
     async def aclose(self) -> None:
-        """Close."""
+        """Close this end."""
         self.is_closed = True
         await self.inner.aclose()
 
 
 @attrs.define(eq=False)
 class MemoryTransport(transport.PeerTransport):
-    """One host's side of a :class:`MemoryNetwork`."""
+    """The transport of one host of a :class:`MemoryNetwork`.
+
+    :ivar name: name of the host
+    """
 
     network: MemoryNetwork
     name: str
@@ -321,4 +341,4 @@
                 task_status.started()
                 await trio.sleep_forever()
             finally:
-                self.network.forget(address)
+                self.network.remove_listener(address)
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""A plain service on one VM: records to read, orders that are not idempotent."""
+"""Serves a plain service on one VM: idempotent reads of records, and non-idempotent orders."""
 
 import json
 import typing
@@ -12,7 +12,14 @@
 
 @attrs.define
 class Settings:
-    """The settings of one service."""
+    """Settings of one service; each but ``vm`` is a command-line option.
+
+    :ivar run_s: time to run an order, seconds
+    :ivar warm: whether the service is warm from the start
+    :ivar warm_s: time from the start until the service is warm, seconds
+    :ivar bearable: number of concurrent requests that it reports to sustain while cold
+    :ivar slots: number of orders that run concurrently
+    """
 
     vm: str = "vm-1"
     run_s: float = 0.01
@@ -24,7 +31,14 @@
 
 @attrs.define
 class Faults:
-    """The faults in force; the next so many orders are cut before or after their run."""
+    """Injected faults.
+
+    :ivar paused: whether requests hang
+    :ivar slow_s: delay of each request, seconds
+    :ivar cut_before_run: number of next orders whose connection is closed before they run
+    :ivar cut_after_run: number of next orders whose connection is closed after they ran
+    :ivar leaving: whether the load report says that the VM is leaving
+    """
 
     paused: bool = False
     slow_s: float = 0.0
@@ -34,7 +48,12 @@
 
 
 class App(serving.App):
-    """The HTTP interface of a service, with its history and faults."""
+    """ASGI application of a service, with its history and fault injection.
+
+    :ivar orders: executed orders, oldest first
+    :ivar records: number of records read
+    :ivar started_s: start time on trio's clock
+    """
 
     def __init__(self, settings: Settings | None = None) -> None:
         self.settings = settings or Settings()
@@ -46,7 +65,7 @@
         self.slots = trio.CapacityLimiter(self.settings.slots)
 
     async def run(self) -> None:
-        """Note the start, from which the time until warm counts."""
+        """Record the start time, from which the time until warm is counted."""
         self.started_s = trio.current_time()
 
     def load(self) -> dict[str, typing.Any]:
@@ -65,45 +84,47 @@
         }
 
     async def handle(self, exchange: serving.Exchange) -> None:
-        """Answer one request."""
+        """Handle one HTTP request."""
         if exchange.path == "/standin/history":
-            await exchange.answer(200, {"orders": self.orders, "records": self.records})
+            await exchange.respond(200, {"orders": self.orders, "records": self.records})
             return
         if exchange.path == "/standin/faults":
             try:
                 self.faults = attrs.evolve(self.faults, **exchange.json())
-            except TypeError as reason:
-                raise serving.AnswerError(400, {"error": str(reason)}) from None
-            await exchange.answer(200, attrs.asdict(self.faults))
+            except TypeError as error:
+                raise serving.HttpError(400, {"error": str(error)}) from None
+            await exchange.respond(200, attrs.asdict(self.faults))
             return
         while self.faults.paused:
             await trio.sleep(0.01)
         await trio.sleep(self.faults.slow_s)
         if exchange.path == "/health":
-            await exchange.answer(200, {"status": "ok"})
+            await exchange.respond(200, {"status": "ok"})
         elif exchange.path == "/v1/load":
-            await exchange.answer(200, self.load())
+            await exchange.respond(200, self.load())
         elif exchange.method == "GET" and exchange.path.startswith("/records/"):
             self.records += 1
             record = exchange.path.removeprefix("/records/")
-            await exchange.answer(200, {"id": record, "vm": self.settings.vm}, self._echo(exchange))
+            await exchange.respond(
+                200, {"id": record, "vm": self.settings.vm}, self._request_id_headers(exchange)
+            )
         elif exchange.method == "POST" and (
             exchange.path == "/publish" or exchange.path.startswith("/valves/")
         ):
-            await self._order(exchange)
+            await self._run_order(exchange)
         else:
             raise serving.not_found()
 
-    def _echo(self, exchange: serving.Exchange) -> dict[str, str]:
+    def _request_id_headers(self, exchange: serving.Exchange) -> dict[str, str]:
         return {k: v for k, v in exchange.headers.items() if k == "x-request-id"}
 
-    async def _order(self, exchange: serving.Exchange) -> None:
-        """Run an order in a slot; the run goes on when the client leaves."""
+    async def _run_order(self, exchange: serving.Exchange) -> None:
+        """Run an order in a slot; it continues when the client disconnects."""
         if self.faults.cut_before_run > 0:
             self.faults.cut_before_run -= 1
-            raise serving.CutError
-        cut_after = self.faults.cut_after_run > 0
-        self.faults.cut_after_run -= cut_after
+            raise serving.DropConnectionError
+        is_cut_after_run = self.faults.cut_after_run > 0
+        self.faults.cut_after_run -= is_cut_after_run
         try:
             body = json.loads(exchange.body or b"null")
         except ValueError:
@@ -117,6 +138,8 @@
                 "body": body,
             }
             self.orders.append(order)
-        if cut_after:
-            raise serving.CutError
-        await exchange.answer(200, {"done": True, "order": len(self.orders)}, self._echo(exchange))
+        if is_cut_after_run:
+            raise serving.DropConnectionError
+        await exchange.respond(
+            200, {"done": True, "order": len(self.orders)}, self._request_id_headers(exchange)
+        )
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""Serving of the stand-ins' ASGI apps with hypercorn on trio."""
+"""Serves the stand-ins' ASGI applications with hypercorn on trio."""
 
 import abc
 import collections.abc
@@ -14,12 +14,12 @@
 import trio
 
 
-class CutError(Exception):
-    """Raised by a handler to close the connection without (the rest of) an answer."""
+class DropConnectionError(Exception):
+    """Raised by a handler to close the connection without a complete response."""
 
 
-class AnswerError(Exception):
-    """Raised by a handler to answer with an error status and a JSON body."""
+class HttpError(Exception):
+    """Raised by a handler to respond with an error status and a JSON body."""
 
     def __init__(self, status: int, data: typing.Any) -> None:
         super().__init__(f"{status}: {data}")
@@ -29,7 +29,13 @@
 
 @attrs.define(eq=False)
 class Exchange:
-    """One HTTP request and the way to answer it."""
+    """One HTTP request and the methods to respond to it.
+
+    :ivar headers: request headers by lower-case name
+    :ivar body: complete request body
+    :ivar receive: ASGI receive callable
+    :ivar send: ASGI send callable
+    """
 
     method: str
     path: str
@@ -39,37 +45,40 @@
     send: collections.abc.Callable[[dict], collections.abc.Awaitable[None]]
 
     def json(self) -> dict[str, typing.Any]:
-        """Return the body as a JSON object; an empty body is an empty object."""
+        """Return the body as a JSON object; an empty body is an empty object.
+
+        :raises HttpError: when the body is not a JSON object
+        """
         try:
             data = json.loads(self.body or b"{}")
         except ValueError:
             data = None
         if not isinstance(data, dict):
-            raise AnswerError(400, {"code": 3, "message": "the body is not a JSON object"})
+            raise HttpError(400, {"code": 3, "message": "the body is not a JSON object"})
         return data
 
-    async def answer(
+    async def respond(
         self, status: int, data: typing.Any, headers: dict[str, str] | None = None
     ) -> None:
-        """Send a whole JSON answer."""
+        """Send a complete JSON response."""
         body = json.dumps(data).encode()
         headers = {"content-length": str(len(body)), **(headers or {})}
-        await self.start("application/json", headers, status)
+        await self.start_response("application/json", headers, status)
         await self.send({"type": "http.response.body", "body": body})
 
-    async def start(
+    async def start_response(
         self, content_type: str, headers: dict[str, str] | None = None, status: int = 200
     ) -> None:
-        """Send the status and headers of an answer."""
+        """Send the status and headers of a response."""
         pairs = [("content-type", content_type), *(headers or {}).items()]
         raw = [(name.encode(), value.encode()) for name, value in pairs]
         await self.send({"type": "http.response.start", "status": status, "headers": raw})
 
-    async def send_part(self, body: bytes) -> None:
-        """Send a part of a streamed body."""
+    async def send_chunk(self, body: bytes) -> None:
+        """Send a chunk of a streamed body."""
         await self.send({"type": "http.response.body", "body": body, "more_body": True})
 
-    async def finish(self) -> None:
+    async def finish_response(self) -> None:
         """End a streamed body."""
         await self.send({"type": "http.response.body", "body": b""})
 
@@ -78,31 +87,39 @@
         while (await self.receive())["type"] != "http.disconnect":
             pass
 
-    async def cut(self) -> None:
-        """Close the connection at once, without an answer.
+    async def abort(self) -> None:
+        """Close the connection at once, without completing the response.
 
-        ASGI has no event for this, so hypercorn's connection is found behind `send`
-        (its HTTPStream, then its H11Protocol, then its TCPServer).
+        ASGI has no event for this, so hypercorn's connection is reached through ``send``:
+        it is bound to an HTTPStream, whose ``send`` is bound to the H11Protocol, whose
+        ``send`` is called here.
         """
         protocol = self.send.__self__.send.__self__
         await protocol.send(hypercorn.events.Closed())
 
 
 class App(abc.ABC):
-    """Base of the stand-ins' ASGI apps: subclasses give `handle` and, if needed, `run`."""
+    """Base class of the stand-ins' ASGI applications.
+
+    Subclasses implement :meth:`handle` and, if they have background work, :meth:`run`.
+    """
 
     @abc.abstractmethod
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Handle one HTTP request.
+
+        :raises HttpError: to respond with an error
+        :raises DropConnectionError: to close the connection
+        """
 
     async def run(self) -> None:
-        """Run the app's background work until cancelled; most have none."""
+        """Run the application's background work until cancelled; the default has none."""
         await trio.lowlevel.checkpoint()
 
     async def __call__(self, scope: dict, receive: typing.Any, send: typing.Any) -> None:
-        """Serve one ASGI scope."""
+        """Serve one ASGI scope, HTTP or lifespan."""
         if scope["type"] == "lifespan":
-            await self._live(receive, send)
+            await self._handle_lifespan(receive, send)
         elif scope["type"] == "http":
             body = bytearray()
             more = True
@@ -113,21 +130,21 @@
                 body += event.get("body", b"")
                 more = event.get("more_body", False)
             headers = {name.decode().lower(): value.decode() for name, value in scope["headers"]}
-            await self._answer(
+            await self._respond(
                 Exchange(scope["method"], scope["path"], headers, bytes(body), receive, send)
             )
 
-    async def _answer(self, exchange: Exchange) -> None:
-        """Handle one request and turn the handlers' errors into answers and cuts."""
+    async def _respond(self, exchange: Exchange) -> None:
+        """Handle one request; convert the handler's errors to responses or a closed connection."""
         try:
             await self.handle(exchange)
-        except AnswerError as error:
-            await exchange.answer(error.status, error.data)
-        except CutError:
-            await exchange.cut()
+        except HttpError as error:
+            await exchange.respond(error.status, error.data)
+        except DropConnectionError:
+            await exchange.abort()
 
-    async def _live(self, receive: typing.Any, send: typing.Any) -> None:
-        """Answer the server's start and end of life events."""
+    async def _handle_lifespan(self, receive: typing.Any, send: typing.Any) -> None:
+        """Confirm the server's lifespan events until shutdown."""
         while True:
             event = await receive()
             await send({"type": event["type"] + ".complete"})
@@ -135,9 +152,9 @@
                 return
 
 
-def not_found() -> AnswerError:
-    """Return the error for a path or method that the stand-in does not have."""
-    return AnswerError(404, {"code": 5, "message": "not found"})
+def not_found() -> HttpError:
+    """Return the error for a path or method that the stand-in does not support."""
+    return HttpError(404, {"code": 5, "message": "not found"})
 
 
 async def serve(
@@ -146,7 +163,11 @@
     *,
     task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve an app until cancelled; `nursery.start` returns the bound address."""
+    """Serve an application until cancelled; ``nursery.start`` returns the bound address.
+
+    :param address: ``HOST:PORT``; port 0 for any free port
+    :raises ValueError: when the address is not a loopback address
+    """
     if not address.startswith("127."):
         raise ValueError(f"stand-ins serve on 127.0.0.0/8 only, not {address}")
     config = hypercorn.config.Config()
--- a/tests/proof/faults.py
+++ b/tests/proof/faults.py
@@ -19,7 +19,7 @@
     elif far in own.servers:
         own.network.cut(entry, far)
     else:
-        own.peers.cut(entry, far)
+        own.peers.partition(entry, far)
 
 
 def heal(own: site.Site, entry: str, far: str) -> None:
--- a/tests/proof/platform.py
+++ b/tests/proof/platform.py
@@ -32,9 +32,9 @@
 class RecordingClient(memory.MemoryClient):
     """Takes a moment for each call, and tells the store who calls."""
 
-    async def _meet_faults(self) -> None:
+    async def _apply_faults(self) -> None:
         await trio.sleep(network.LATENCY_S)
-        await super()._meet_faults()
+        await super()._apply_faults()
         self.platform.store.acting = self.client_name
 
 
--- a/tests/proof/servers.py
+++ b/tests/proof/servers.py
@@ -18,8 +18,8 @@
 
 @attrs.define(eq=False)
 class _Exchange(serving.Exchange):
-    async def cut(self) -> None:
-        raise serving.CutError
+    async def abort(self) -> None:
+        raise serving.DropConnectionError
 
 
 @attrs.define(eq=False, slots=False)
@@ -90,12 +90,12 @@
         body = (await receive())["body"]
         headers = {name.decode(): value.decode() for name, value in scope["headers"]}
         exchange = _Exchange(scope["method"], scope["path"], headers, body, receive, send)
-        with trio.CancelScope() as cancel_scope, contextlib.suppress(serving.CutError):
+        with trio.CancelScope() as cancel_scope, contextlib.suppress(serving.DropConnectionError):
             self._scopes.add(cancel_scope)
             try:
                 await self.app.handle(exchange)
-            except serving.AnswerError as error:
-                await exchange.answer(error.status, error.data)
+            except serving.HttpError as error:
+                await exchange.respond(error.status, error.data)
             finally:
                 self._scopes.discard(cancel_scope)
 
@@ -134,7 +134,7 @@
         cut = self._served_by_group() if order["order"] in ("join", "leave") else 0
         try:
             super().order(order)
-        except serving.AnswerError:
+        except serving.HttpError:
             self.server.site.history.record(record(False))
             raise
         self.server.site.history.record(record(True, order.get("group", ""), cut))
@@ -167,7 +167,7 @@
     def _start(self, run: engine.Run) -> None:
         place, now_s = self.group(), trio.current_time()
         if place is None:
-            raise serving.CutError
+            raise serving.DropConnectionError
         servers = [self.server.site.server_at(address) for address in place.members]
         key = (place.group, place.generation)
         absent = [
--- a/tests/replica_cluster.py
+++ b/tests/replica_cluster.py
@@ -24,7 +24,7 @@
 
     def __attrs_post_init__(self):
         rng = random.Random(self.name)
-        self.client = self.platform.mirrored(self.name)
+        self.client = self.platform.change_source(self.name)
         self.mirror = mirror.Mirror()
         self.watch = watching.ServiceWatch(self.client, self.mirror, lambda: 0.02, rng)
         self.registry = registry.Registry(
--- a/tests/test_peer_streams.py
+++ b/tests/test_peer_streams.py
@@ -76,7 +76,7 @@
 
     async def _one_way(self, refused):
         network = memory.MemoryNetwork()
-        network.refuse(*refused)
+        network.block_connections(*refused)
         async with trio.open_nursery() as nursery:
             hosts = await start(nursery, network, ["a", "b"])
             await trio.sleep(5)
@@ -94,7 +94,7 @@
         async with trio.open_nursery() as nursery:
             hosts = await start(nursery, network, ["a", "b"])
             await trio.sleep(5)
-            network.cut("a", "b")
+            network.partition("a", "b")
             await trio.sleep(streams.HEARTBEAT_TIMEOUT_S + 0.1)
             self.assertEqual(frozenset(), hosts["a"].exchange.connected())
             network.heal()
@@ -116,7 +116,7 @@
             second.streams.address = "address-b1"
             await nursery.start(second.streams.run)
             await trio.sleep(1)
-            network.cut("a", "b1")
+            network.partition("a", "b1")
             third = new_host(network, "b", ["a"], boot="2", machine="b2")
             third.streams.address = "address-b2"
             await nursery.start(third.streams.run)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -19,7 +19,7 @@
     def __attrs_post_init__(self):
         self.platform = memory.MemoryPlatform()
         self.writer = self.platform.client("writer")
-        client = self.platform.mirrored("entry-1")
+        client = self.platform.change_source("entry-1")
         prefix = replicas.REGISTRATIONS_PREFIX
         self.mirror = mirror.Mirror()
         self.watch = watching.ServiceWatch(client, self.mirror, lambda: 0.05, random.Random(1))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -29,7 +29,7 @@
         rng = random.Random(self.name)
         self.mirror = mirror.Mirror()
         transport = self.site.network.transport(self.name)
-        client = self.site.platform.mirrored(self.name)
+        client = self.site.platform.change_source(self.name)
         watch = watching.ServiceWatch(client, self.mirror, lambda: 0.1, rng)
         self.publisher = publishing.Publisher(self.mirror, self.name, transport)
         self.follower = following.Follower(self.mirror, watch, transport, lambda: self.sources, rng)
@@ -128,7 +128,7 @@
     @with_site
     async def test_partition_between_entries_is_detected_by_a_timeout(self, site):
         """Guards against a stale mirror when packets from the source are dropped silently."""
-        site.network.cut("f1", "r1")
+        site.network.partition("f1", "r1")
         await site.write("things/new")
         elapsed_s = await site.seconds_until(lambda: site["f1"].has("things/new"), DRAIN_S)
         self.assertLess(elapsed_s, 1.2)
@@ -265,7 +265,7 @@
         """Guards against a stale zone that cannot reach the planner's zone."""
         self._chain(site)
         await trio.sleep(5)
-        site.network.cut("r1", "r2")
+        site.network.partition("r1", "r2")
         await site.write("things/leaving")
         elapsed_s = await site.seconds_until(lambda: site["f2"].has("things/leaving"), DRAIN_S)
         self.assertLess(elapsed_s, DRAIN_S - 0.3)
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -48,14 +48,14 @@
         async with trio.open_nursery() as nursery:
             cluster = replica_cluster.Cluster(nursery, domains=34)
             row_counts = []
-            commit = memory.MirroredClient.commit
+            commit = memory.MemoryChangeSource.commit
 
             async def counting_commit(client, conditions, writes):
                 row_counts.append(len(conditions) + len(writes))
                 return await commit(client, conditions, writes)
 
             await cluster.add_servers()
-            with unittest.mock.patch.object(memory.MirroredClient, "commit", counting_commit):
+            with unittest.mock.patch.object(memory.MemoryChangeSource, "commit", counting_commit):
                 node = cluster.start("entry-1")
                 await cluster.wait_for(lambda: len(node.group_table.groups) >= 60, 60)
             self.assertLessEqual(max(row_counts), 32)
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -111,7 +111,7 @@
     async def test_any_entry_shows_what_is_in_force_on_all(self):
         # Entries 0 and 2 cannot reach each other; entry 1 passes on what each says of itself.
         async with running() as site:
-            site.network.cut("entry-0", "entry-2")
+            site.network.partition("entry-0", "entry-2")
             await trio.sleep(4)
             await apply(site)
             await trio.sleep(3)
