--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Model engines in memory behind the backend client's interface, for trio's test clock."""
+"""In-memory model engines behind the backend client's interface, for tests on a mock clock."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from toucanhold.configuration import inventory
 
 
-class Mode(enum.Enum):
-    """How an engine's VM answers."""
+class Reachability(enum.Enum):
+    """How an engine's VM responds: it works, refuses connections, or never responds."""
 
     UP = "up"
     REFUSING = "refusing"
@@ -24,112 +24,125 @@
 
 @attrs.define(eq=False)
 class WeightStore:
-    """Gives weights to all engines together at a fixed rate.
+    """Weight store whose bandwidth is shared by all engines.
 
-    :ivar full_rate_loads: loads at once that each get their full rate
+    :ivar max_full_rate_loads: concurrent loads up to which each runs at full rate
+    :ivar load_count: number of loads started so far
     """
 
-    full_rate_loads: int = 1_000_000
-    _ends_s: list[float] = attrs.field(factory=list)
-    loads: int = 0
+    max_full_rate_loads: int = 1_000_000
+    _load_ends_s: list[float] = attrs.field(factory=list)
+    load_count: int = 0
 
-    def load(self, load_s: float) -> float:
-        """Begin a load and return when it ends."""
+    def start_load(self, load_s: float) -> float:
+        """Start a load and return the time on trio's clock at which it ends.
+
+        :param load_s: duration at full rate, seconds
+        """
         now_s = trio.current_time()
-        self._ends_s = [end_s for end_s in self._ends_s if end_s > now_s]
-        self.loads += 1
-        slowdown = max(1.0, (len(self._ends_s) + 1) / self.full_rate_loads)
-        self._ends_s.append(now_s + load_s * slowdown)
-        return self._ends_s[-1]
+        self._load_ends_s = [end_s for end_s in self._load_ends_s if end_s > now_s]
+        self.load_count += 1
+        slowdown = max(1.0, (len(self._load_ends_s) + 1) / self.max_full_rate_loads)
+        self._load_ends_s.append(now_s + load_s * slowdown)
+        return self._load_ends_s[-1]
 
 
 @attrs.define(eq=False)
 class MemoryEngine:
-    """One engine.
-
-    :ivar load_s: time to load a model's weights
-    :ivar store: where it loads them from
-    :ivar running: requests that it claims to run
-    :ivar lost_answers: number of coming orders that it obeys without an answer
-    :ivar order_delay_s: time that an order spends on its way, longer than its sender waits
-    :ivar history: orders obeyed, with their times
+    """One model engine.
+
+    :ivar load_s: time to load a model's weights at full rate, seconds
+    :ivar store: store from which it loads weights
+    :ivar running_requests: number of running requests in its load report
+    :ivar answers_to_lose: number of next orders that it executes without a response
+    :ivar order_delay_s: network delay of orders, seconds; the sender times out before they arrive
+    :ivar boot: increases with each restart
+    :ivar join_order: order by which it joined its present group, if any
+    :ivar weights: model and version of the loaded weights
+    :ivar executed_orders: executed orders as (time on trio's clock, order), oldest first
     """
 
     vm: inventory.Vm
     load_s: float = 1.0
     store: WeightStore = attrs.field(factory=WeightStore)
-    mode: Mode = Mode.UP
-    running: int = 0
-    leaving: bool = False
-    lost_answers: int = 0
+    reachability: Reachability = Reachability.UP
+    running_requests: int = 0
+    is_leaving: bool = False
+    answers_to_lose: int = 0
     order_delay_s: float = 0.0
     boot: int = 1
-    place: client.JoinOrder | None = None
+    join_order: client.JoinOrder | None = None
     weights: tuple[str | None, str] = (None, "")
     highest_fencing: int = 0
-    history: list[tuple[float, client.Order]] = attrs.field(factory=list)
+    executed_orders: list[tuple[float, client.Order]] = attrs.field(factory=list)
     _loaded_at_s: float = 0.0
 
     def report(self) -> client.Report:
         """Return the load report."""
-        loading = self.place is not None and trio.current_time() < self._loaded_at_s
-        place = None if loading else self.place
+        loading = self.join_order is not None and trio.current_time() < self._loaded_at_s
+        join_order = None if loading else self.join_order
         return client.Report(
             vm=self.vm.vm,
             boot_id=f"{self.vm.vm}-{self.boot}",
             warmth=client.Warmth.WARM,
-            running=self.running,
-            group=place.group if place else None,
-            generation=place.generation if place else 0,
-            rank=place.rank if place else 0,
+            running=self.running_requests,
+            group=join_order.group if join_order else None,
+            generation=join_order.generation if join_order else 0,
+            rank=join_order.rank if join_order else 0,
             model=None if loading else self.weights[0],
             version="" if loading else self.weights[1],
             loading=loading,
-            leaving=self.leaving,
+            leaving=self.is_leaving,
             highest_fencing=self.highest_fencing,
         )
 
-    def obey(self, order: client.Order) -> None:
-        """Carry out an order.
+    def execute(self, order: client.Order) -> None:
+        """Execute an order.
 
-        :raises client.OrderRefusedError: for an old fencing number, where it checks
+        :raises client.OrderRefusedError: when the engine checks fencing numbers and the order's
+            number is lower than one seen before
         """
         checks = self.vm.fencing is inventory.Fencing.CHECKED
         if checks and order.fencing < self.highest_fencing:
-            raise client.OrderRefusedError(f"{self.vm.vm}: {order.fencing} is old")
+            raise client.OrderRefusedError(
+                f"{self.vm.vm}: expected fencing number {self.highest_fencing} or higher, "
+                f"got {order.fencing}"
+            )
         self.highest_fencing = max(order.fencing, self.highest_fencing)
-        self.history.append((trio.current_time(), order))
+        self.executed_orders.append((trio.current_time(), order))
         if isinstance(order, client.LeaveOrder):
-            self.place = None
+            self.join_order = None
             return
-        wanted = (order.model, order.version)
-        if wanted != self.weights:
-            self._loaded_at_s = self.store.load(self.load_s)
-        self.place, self.weights = order, wanted
+        ordered_weights = (order.model, order.version)
+        if ordered_weights != self.weights:
+            self._loaded_at_s = self.store.start_load(self.load_s)
+        self.join_order, self.weights = order, ordered_weights
 
     def restart(self) -> None:
-        """Lose everything and come back as another process."""
+        """Restart as a new process without group, weights or fencing number."""
         self.boot += 1
-        self.place, self.weights, self.highest_fencing = None, (None, ""), 0
-        self.running = 0
-        self.mode = Mode.UP
+        self.join_order, self.weights, self.highest_fencing = None, (None, ""), 0
+        self.running_requests = 0
+        self.reachability = Reachability.UP
 
 
 @attrs.define(eq=False)
 class MemoryFleet(client.BackendClient):
-    """All engines, by address.
+    """Client of a fleet of in-memory engines.
 
-    :ivar cut: addresses that a caller of this client cannot reach
-    :ivar gate: orders wait for it after their sender's last look at its lease, as in a pause
+    :ivar engines: engines by address
+    :ivar unreachable_addresses: addresses that this client cannot reach
+    :ivar order_gate: orders wait for this event after their sender last checked its lease, as if
+        the sender were paused there
     """
 
     engines: dict[str, MemoryEngine]
     nursery: trio.Nursery
-    cut: set[str] = attrs.field(factory=set)
-    gate: trio.Event | None = None
+    unreachable_addresses: set[str] = attrs.field(factory=set)
+    order_gate: trio.Event | None = None
 
-    def seen_from(self) -> MemoryFleet:
-        """Return a client with the same engines and cuts of its own."""
+    def new_client(self) -> MemoryFleet:
+        """Return a client of the same engines with its own unreachable addresses."""
         return MemoryFleet(self.engines, self.nursery)
 
     async def close(self) -> None:
@@ -138,37 +151,40 @@
 
     async def read_report(self, address: str, timeout_s: float) -> client.Report:
         """See :class:`client.BackendClient`."""
-        return (await self._reach(address, timeout_s)).report()
+        return (await self._connect(address, timeout_s)).report()
 
     async def send_order(self, address: str, order: client.Order, timeout_s: float) -> None:
         """See :class:`client.BackendClient`."""
-        if self.gate is not None:
-            await self.gate.wait()
-        engine = await self._reach(address, timeout_s)
+        if self.order_gate is not None:
+            await self.order_gate.wait()
+        engine = await self._connect(address, timeout_s)
         if engine.order_delay_s:
             self.nursery.start_soon(self._deliver_late, engine, order, engine.order_delay_s)
             await trio.sleep(timeout_s)
-            raise client.AnswerLostError(f"{address}: no answer")
-        engine.obey(order)
-        if engine.lost_answers:
-            engine.lost_answers -= 1
+            raise client.AnswerLostError(f"{address}: no response within {timeout_s} s")
+        engine.execute(order)
+        if engine.answers_to_lose:
+            engine.answers_to_lose -= 1
             await trio.sleep(timeout_s)
-            raise client.AnswerLostError(f"{address}: no answer")
+            raise client.AnswerLostError(f"{address}: no response within {timeout_s} s")
 
     def forward(
         self, address: str, request: client.ForwardedRequest
     ) -> contextlib.AbstractAsyncContextManager[client.ForwardedResponse]:
-        """Serve nothing: these engines only join and leave."""
-        raise client.NotSentError(f"{address}: takes no requests")
+        """Refuse every request: these engines only execute join and leave orders."""
+        raise client.NotSentError(f"{address}: the in-memory engine serves no requests")
 
-    async def _reach(self, address: str, timeout_s: float) -> MemoryEngine:
+    async def _connect(self, address: str, timeout_s: float) -> MemoryEngine:
         await trio.lowlevel.checkpoint()
         engine = self.engines[address]
-        if engine.mode is Mode.REFUSING and address not in self.cut:
-            raise client.RefusedError(f"{address}: refused")
-        if engine.mode is not Mode.UP or address in self.cut:
+        if (
+            engine.reachability is Reachability.REFUSING
+            and address not in self.unreachable_addresses
+        ):
+            raise client.RefusedError(f"{address}: connection refused")
+        if engine.reachability is not Reachability.UP or address in self.unreachable_addresses:
             await trio.sleep(timeout_s)
-            raise client.AnswerLostError(f"{address}: no answer")
+            raise client.AnswerLostError(f"{address}: no response within {timeout_s} s")
         return engine
 
     async def _deliver_late(
@@ -176,13 +192,13 @@
     ) -> None:
         await trio.sleep(delay_s)
         with contextlib.suppress(client.OrderRefusedError):
-            engine.obey(order)
+            engine.execute(order)
 
 
 def new_fleet(vms: collections.abc.Iterable[inventory.Vm], nursery: trio.Nursery, **options):
-    """Return a fleet with an engine for each VM.
+    """Return a fleet with one engine for each VM.
 
-    :param options: fields of :class:`MemoryEngine`
+    :param options: fields of each :class:`MemoryEngine`
     """
     engines: dict[str, typing.Any] = {vm.address: MemoryEngine(vm, **options) for vm in vms}
     return MemoryFleet(engines, nursery)
--- a/standins/planners.py
+++ b/standins/planners.py
@@ -1,4 +1,4 @@
-"""Entries reduced to observing and planning, on an in-memory platform."""
+"""Entries reduced to observing and planning, on an in-memory key-value service."""
 
 import collections.abc
 import random
@@ -18,9 +18,11 @@
 
 @attrs.define(eq=False)
 class Node:
-    """One entry's observing and planning parts.
+    """The observing and planning components of one entry.
 
-    :ivar scope: cancelling it ends the entry as a crash does
+    :ivar lease: the planner's lease
+    :ivar backends: this entry's client of the engines
+    :ivar scope: cancelling it ends the entry as a crash would
     """
 
     name: str
@@ -43,16 +45,17 @@
                 nursery.start_soon(self.lease.run)
                 nursery.start_soon(self.planner.run)
 
-    def whole_groups(self) -> list[plan.Group]:
-        """Return the groups that this entry would route to."""
+    def complete_groups(self) -> list[plan.Group]:
+        """Return the groups to which this entry would route requests."""
         now_s = trio.current_time()
         return [
             group
             for group in self.plans.groups()
-            if self.planner.input_builder.is_complete(group, now_s) and not self._is_out(group)
+            if self.planner.input_builder.is_complete(group, now_s)
+            and not self._has_member_in_closed_zone(group)
         ]
 
-    def _is_out(self, group: plan.Group) -> bool:
+    def _has_member_in_closed_zone(self, group: plan.Group) -> bool:
         current = self.configuration.current
         vms = current.inventory.by_name()
         return any(vms[member].availability_zone in current.zones_out for member in group.members)
@@ -67,14 +70,27 @@
     probe: terms.PredecessorProbe | None = None,
     seed: int = 1,
 ) -> Node:
-    """Return an entry that has not started."""
+    """Return an entry that is not started.
+
+    :param engines: the fleet; the entry gets a client of its own
+    :param probe: checks whether the previous planner has ended; without one it is unknown
+    """
     rng = random.Random(f"{seed}:{name}")
     store = platform.client(name)
-    known = holder.ConfigurationHolder(configuration)
-    plans, seen, backends = plan.PlanHolder(), view.View(), engines.seen_from()
-    held = lease.LeasedKey(store, planner.PLANNER_KEY, name.encode(), LEASE_TTL_S, rng)
-    own = planner.Planner(
-        known, plans, seen, policy, store, backends, held, name, f"{name}:1", probe or _NO_PROBE
+    configuration_holder = holder.ConfigurationHolder(configuration)
+    plans, observed_view, backends = plan.PlanHolder(), view.View(), engines.new_client()
+    planner_lease = lease.LeasedKey(store, planner.PLANNER_KEY, name.encode(), LEASE_TTL_S, rng)
+    node_planner = planner.Planner(
+        configuration_holder,
+        plans,
+        observed_view,
+        policy,
+        store,
+        backends,
+        planner_lease,
+        name,
+        f"{name}:1",
+        probe or _NO_PROBE,
     )
 
     async def refresh() -> int:
@@ -84,8 +100,18 @@
         return result.revision
 
     follower = following.PrefixFollower(store, plan.PLAN_PREFIX, refresh, rng)
-    polling = poller.Poller(known, backends, seen, rng)
-    return Node(name, known, plans, seen, polling, follower, held, own, backends)
+    report_poller = poller.Poller(configuration_holder, backends, observed_view, rng)
+    return Node(
+        name,
+        configuration_holder,
+        plans,
+        observed_view,
+        report_poller,
+        follower,
+        planner_lease,
+        node_planner,
+        backends,
+    )
 
 
 def new_configuration(
@@ -95,14 +121,20 @@
     number: int = 1,
     **other_rules,
 ) -> snapshot.Configuration:
-    """Return a configuration; its zones are those of the VMs, all drainable by default."""
+    """Return a configuration whose availability zones are those of the VMs.
+
+    All zones are drainable, unless ``other_rules`` replaces them.
+
+    :param zones_out: names of closed availability zones
+    :param other_rules: further fields of :class:`rules.Rules`
+    """
     vms = tuple(vms)
     zones = tuple(
         rules.AvailabilityZone(name) for name in sorted({vm.availability_zone for vm in vms})
     )
-    given = {"services": tuple(services), "availability_zones": zones} | other_rules
+    rule_values = {"services": tuple(services), "availability_zones": zones} | other_rules
     return snapshot.Configuration(
-        number, inventory.Inventory(vms), rules.Rules(**given), frozenset(zones_out)
+        number, inventory.Inventory(vms), rules.Rules(**rule_values), frozenset(zones_out)
     )
 
 
@@ -113,7 +145,11 @@
     fencing: inventory.Fencing = inventory.Fencing.CHECKED,
     accelerators: int = 1,
 ) -> list[inventory.Vm]:
-    """Return engines, evenly spread over zones and their fabric domains."""
+    """Return the VMs of engines, the same number in each fabric domain of each zone.
+
+    :param domains: number of fabric domains in each availability zone
+    :param accelerators: number of accelerators of each VM
+    """
     return [
         inventory.Vm(
             vm=f"vm-{zone}-{domain}-{index}",
--- a/standins/routers.py
+++ b/standins/routers.py
@@ -91,8 +91,8 @@
         )
         entry = Entry(name, self.build(around), seen, clients)
         self.entries[name] = entry
-        polling = poller.Poller(configuration, clients, seen, rng)
-        self.nursery.start_soon(self._run, entry, polling)
+        report_poller = poller.Poller(configuration, clients, seen, rng)
+        self.nursery.start_soon(self._run, entry, report_poller)
         return entry
 
     def kill(self, name: str) -> None:
@@ -175,10 +175,10 @@
         }
         return snapshot.from_parts(1, parts)
 
-    async def _run(self, entry: Entry, polling: poller.Poller) -> None:
+    async def _run(self, entry: Entry, report_poller: poller.Poller) -> None:
         with entry.new_scope():
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(polling.run)
+                nursery.start_soon(report_poller.run)
                 nursery.start_soon(entry.router.run)
 
 
--- a/tests/planner_fixtures.py
+++ b/tests/planner_fixtures.py
@@ -102,11 +102,11 @@
 
 
 def join_orders_of(engine):
-    return [order for _, order in engine.history if isinstance(order, client.JoinOrder)]
+    return [order for _, order in engine.executed_orders if isinstance(order, client.JoinOrder)]
 
 
 def leave_times_s_of(engine):
-    return [at_s for at_s, order in engine.history if isinstance(order, client.LeaveOrder)]
+    return [at_s for at_s, order in engine.executed_orders if isinstance(order, client.LeaveOrder)]
 
 
 def engines(site):
@@ -122,7 +122,7 @@
 
 
 def has_later_generation(node, before):
-    return any(group.generation > before.generation for group in node.whole_groups())
+    return any(group.generation > before.generation for group in node.complete_groups())
 
 
 def is_no_longer_planned(node, before):
--- a/tests/proof/promises.py
+++ b/tests/proof/promises.py
@@ -39,7 +39,7 @@
 Lines = collections.abc.Iterator[str]
 
 
-def whole_groups(record: Record) -> Lines:
+def complete_groups(record: Record) -> Lines:
     """No partial group serves a request."""
     for time_s, run in record.history.of(history.RunStarted):
         for vm, absent_s in run.absent:
@@ -286,7 +286,7 @@
 
 
 PROMISES = (
-    whole_groups,
+    complete_groups,
     one_group_per_vm,
     cold_servers,
     zones_out,
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -19,8 +19,8 @@
         async def test():
             async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await planner_fixtures.wait_until(node.whole_groups)
-                (before,) = node.whole_groups()
+                await planner_fixtures.wait_until(node.complete_groups)
+                (before,) = node.complete_groups()
                 restarted_at_s = trio.current_time()
                 site.engine(1).restart()
                 await planner_fixtures.wait_until(
@@ -28,7 +28,7 @@
                 )
                 late = [
                     order.generation
-                    for at_s, order in site.engine(1).history
+                    for at_s, order in site.engine(1).executed_orders
                     if at_s > restarted_at_s and isinstance(order, client.JoinOrder)
                 ]
                 self.assertNotIn(before.generation, late)
@@ -39,14 +39,14 @@
         async def test():
             async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await planner_fixtures.wait_until(node.whole_groups)
+                await planner_fixtures.wait_until(node.complete_groups)
                 site.platform.set_mode("down", "node")
                 engine = site.engine(1)
-                order = engine.place
+                order = engine.join_order
                 engine.restart()
-                engine.obey(order)
+                engine.execute(order)
                 await trio.sleep(3)
-                self.assertEqual([], node.whole_groups())
+                self.assertEqual([], node.complete_groups())
 
         planner_fixtures.run(test)
 
@@ -56,14 +56,14 @@
         async def test():
             async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await planner_fixtures.wait_until(node.whole_groups)
+                await planner_fixtures.wait_until(node.complete_groups)
                 site.platform.set_mode("down", "node")
                 engine = site.engine(1)
-                order, engine.place = engine.place, None
+                order, engine.join_order = engine.join_order, None
                 await trio.sleep(1)
-                engine.place = order
+                engine.join_order = order
                 await trio.sleep(3)
-                self.assertEqual([], node.whole_groups())
+                self.assertEqual([], node.complete_groups())
 
         planner_fixtures.run(test)
 
@@ -74,14 +74,14 @@
             async with planner_fixtures.running_site() as site:
                 old = site.start("old")
                 await planner_fixtures.wait_until(lambda: planner_fixtures.is_formed(old))
-                (before,) = old.whole_groups()
+                (before,) = old.complete_groups()
                 old.scope.cancel()
-                order = site.engine(1).place
+                order = site.engine(1).join_order
                 site.engine(1).restart()
-                site.engine(1).obey(order)
+                site.engine(1).execute(order)
                 late = site.start("late")
                 while not planner_fixtures.has_later_generation(late, before):
-                    self.assertEqual([], late.whole_groups())
+                    self.assertEqual([], late.complete_groups())
                     await trio.sleep(0.05)
 
         planner_fixtures.run(test)
@@ -90,9 +90,9 @@
         async def test():
             async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await planner_fixtures.wait_until(node.whole_groups)
-                (before,) = node.whole_groups()
-                site.engine(0).place = None
+                await planner_fixtures.wait_until(node.complete_groups)
+                (before,) = node.complete_groups()
+                site.engine(0).join_order = None
                 await planner_fixtures.wait_until(
                     lambda: planner_fixtures.has_later_generation(node, before)
                 )
@@ -106,9 +106,9 @@
             async with planner_fixtures.running_site() as site:
                 old = site.start("old")
                 await planner_fixtures.wait_until(lambda: planner_fixtures.is_formed(old))
-                (before,) = old.whole_groups()
+                (before,) = old.complete_groups()
                 old.scope.cancel()
-                site.engine(0).place = None
+                site.engine(0).join_order = None
                 new = site.start("new")
                 await planner_fixtures.wait_until(
                     lambda: planner_fixtures.has_later_generation(new, before)
@@ -124,14 +124,15 @@
         async def test():
             async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await planner_fixtures.wait_until(node.whole_groups)
-                (before,) = node.whole_groups()
-                site.engine(1).mode = fleet.Mode.SILENT
+                await planner_fixtures.wait_until(node.complete_groups)
+                (before,) = node.complete_groups()
+                site.engine(1).reachability = fleet.Reachability.SILENT
                 await trio.sleep(1.5)
-                site.engine(1).mode = fleet.Mode.UP
+                site.engine(1).reachability = fleet.Reachability.UP
                 await trio.sleep(4)
                 self.assertEqual(
-                    [before.generation_key], [group.generation_key for group in node.whole_groups()]
+                    [before.generation_key],
+                    [group.generation_key for group in node.complete_groups()],
                 )
 
         planner_fixtures.run(test)
@@ -142,17 +143,17 @@
         async def test(mode):
             async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await planner_fixtures.wait_until(node.whole_groups)
-                (before,) = node.whole_groups()
-                site.engine(1).mode = mode
+                await planner_fixtures.wait_until(node.complete_groups)
+                (before,) = node.complete_groups()
+                site.engine(1).reachability = mode
                 waits_s[mode] = await planner_fixtures.wait_until(
                     lambda: planner_fixtures.is_no_longer_planned(node, before)
                 )
 
-        for mode in (fleet.Mode.REFUSING, fleet.Mode.SILENT):
+        for mode in (fleet.Reachability.REFUSING, fleet.Reachability.SILENT):
             trio.run(test, mode, clock=trio.testing.MockClock(autojump_threshold=0))
-        self.assertLess(waits_s[fleet.Mode.REFUSING], 1.5)
-        self.assertGreater(waits_s[fleet.Mode.SILENT], 2.0)
+        self.assertLess(waits_s[fleet.Reachability.REFUSING], 1.5)
+        self.assertGreater(waits_s[fleet.Reachability.SILENT], 2.0)
 
 
 class LeaveTest(unittest.TestCase):
@@ -163,16 +164,16 @@
         async def test():
             async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await planner_fixtures.wait_until(node.whole_groups)
-                (group,) = node.whole_groups()
-                site.engine(1).running = 1
+                await planner_fixtures.wait_until(node.complete_groups)
+                (group,) = node.complete_groups()
+                site.engine(1).running_requests = 1
                 site.take_zone_out("zone-0")
                 await trio.sleep(10)
                 self.assertEqual(
                     [[], []],
                     [planner_fixtures.leave_times_s_of(site.engine(each)) for each in (0, 1)],
                 )
-                site.engine(1).running = 0
+                site.engine(1).running_requests = 0
                 await planner_fixtures.wait_until(
                     lambda: planner_fixtures.leave_times_s_of(site.engine(1))
                 )
@@ -187,9 +188,9 @@
         async def test():
             async with planner_fixtures.running_site() as site:
                 node = site.start("node")
-                await planner_fixtures.wait_until(node.whole_groups)
-                site.engine(0).running = 3
-                site.engine(1).mode = fleet.Mode.REFUSING
+                await planner_fixtures.wait_until(node.complete_groups)
+                site.engine(0).running_requests = 3
+                site.engine(1).reachability = fleet.Reachability.REFUSING
                 waited_s = await planner_fixtures.wait_until(
                     lambda: planner_fixtures.leave_times_s_of(site.engine(0))
                 )
@@ -201,10 +202,10 @@
         async def test():
             async with planner_fixtures.running_site() as site:
                 engine = site.engine(2)
-                engine.place = client.JoinOrder("other/1", 1, 0, 1, (), "writer", "1")
+                engine.join_order = client.JoinOrder("other/1", 1, 0, 1, (), "writer", "1")
                 node = site.start("node")
                 await planner_fixtures.wait_until(lambda: planner_fixtures.leave_times_s_of(engine))
-                self.assertNotIn("other/1", [group.group for group in node.whole_groups()])
+                self.assertNotIn("other/1", [group.group for group in node.complete_groups()])
 
         planner_fixtures.run(test)
 
@@ -226,12 +227,12 @@
             await planner_fixtures.wait_until(lambda: list(node.plans.groups()))
             await trio.sleep(0.5)
             site.engine(1).order_delay_s = 0
-            site.engine(0).mode = fleet.Mode.REFUSING
-            await planner_fixtures.wait_until(node.whole_groups, 40)
-            (group,) = node.whole_groups()
+            site.engine(0).reachability = fleet.Reachability.REFUSING
+            await planner_fixtures.wait_until(node.complete_groups, 40)
+            (group,) = node.complete_groups()
             await trio.sleep(20)
             self.assertEqual(
-                [group.generation_key], [each.generation_key for each in node.whole_groups()]
+                [group.generation_key], [each.generation_key for each in node.complete_groups()]
             )
 
     def test_concurrent_loads_are_bounded_and_ordered_by_importance(self):
@@ -245,7 +246,7 @@
             async with planner_fixtures.running_site(vms=6, **options) as site:
                 node = site.start("node")
                 most = 0
-                while len(node.whole_groups()) < 3:
+                while len(node.complete_groups()) < 3:
                     loading = sum(
                         engine.report().loading for engine in planner_fixtures.engines(site)
                     )
@@ -256,7 +257,7 @@
                 self.assertEqual(2, most)
                 first = {}
                 for engine in planner_fixtures.engines(site):
-                    for at_s, order in engine.history:
+                    for at_s, order in engine.executed_orders:
                         service = planner_fixtures.service_of_group(node, order.group)
                         first[service] = min(first.get(service, at_s), at_s)
                 self.assertEqual(["b", "c", "a"], sorted(first, key=first.get))
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -135,7 +135,7 @@
 
 
 MUTANTS = {
-    promises.whole_groups: (
+    promises.complete_groups: (
         _calls_while_groups_form,
         (candidates.CandidateFinder, "_is_whole", lambda *_: True),
     ),
--- a/tests/test_planner_peers.py
+++ b/tests/test_planner_peers.py
@@ -72,27 +72,28 @@
             async with planner_fixtures.running_site(policy=spreading.Spreading()) as site:
                 node, other = site.start("node"), site.start("other")
                 await planner_fixtures.wait_until(
-                    lambda: node.whole_groups() and planner_fixtures.has_recorded_spare(node)
+                    lambda: node.complete_groups() and planner_fixtures.has_recorded_spare(node)
                 )
-                (before,) = node.whole_groups()
+                (before,) = node.complete_groups()
                 site.platform.set_mode("down")
                 await trio.sleep(60)
                 lost = site.engines.engines[planner_fixtures.address_of(site, before.members[1])]
-                lost.mode = fleet.Mode.SILENT
+                lost.reachability = fleet.Reachability.SILENT
                 for each in (node, other):
                     await planner_fixtures.wait_until(
                         lambda each=each: planner_fixtures.has_later_generation(each, before), 30
                     )
-                (during,) = other.whole_groups()
+                (during,) = other.complete_groups()
                 self.assertNotIn(before.members[1], during.members)
                 site.platform.set_mode("up")
                 await trio.sleep(20)
                 self.assertEqual(
-                    [during.generation_key], [each.generation_key for each in other.whole_groups()]
+                    [during.generation_key],
+                    [each.generation_key for each in other.complete_groups()],
                 )
                 self.assertTrue(planner_fixtures.is_formed(other))
-                lost.mode = fleet.Mode.UP
-                await planner_fixtures.wait_until(lambda: lost.place is None)
+                lost.reachability = fleet.Reachability.UP
+                await planner_fixtures.wait_until(lambda: lost.join_order is None)
 
         planner_fixtures.run(test)
 
@@ -104,9 +105,9 @@
             async with planner_fixtures.running_site(policy=spreading.Spreading()) as site:
                 old = site.start("old")
                 await planner_fixtures.wait_until(
-                    lambda: old.whole_groups() and planner_fixtures.has_recorded_spare(old)
+                    lambda: old.complete_groups() and planner_fixtures.has_recorded_spare(old)
                 )
-                (before,) = old.whole_groups()
+                (before,) = old.complete_groups()
                 site.platform.set_mode("down", "old")
                 new = site.start("new")
                 await planner_fixtures.wait_until(lambda: new.planner.term_log.is_term_recorded, 30)
@@ -114,10 +115,10 @@
                 await planner_fixtures.wait_until(
                     lambda: planner_fixtures.has_later_generation(new, before)
                 )
-                (now,) = new.whole_groups()
+                (now,) = new.complete_groups()
                 await trio.sleep(30)
                 self.assertEqual(
-                    [now.generation_key], [each.generation_key for each in new.whole_groups()]
+                    [now.generation_key], [each.generation_key for each in new.complete_groups()]
                 )
 
         planner_fixtures.run(test)
@@ -140,18 +141,18 @@
             async with planner_fixtures.running_site(policy=spreading.Spreading()) as site:
                 node = site.start("node")
                 await planner_fixtures.wait_until(
-                    lambda: node.whole_groups() and planner_fixtures.has_recorded_spare(node)
+                    lambda: node.complete_groups() and planner_fixtures.has_recorded_spare(node)
                 )
-                (before,) = node.whole_groups()
+                (before,) = node.complete_groups()
                 fencing = node.lease.fencing
                 site.platform.set_mode("down")
                 await trio.sleep(6)
                 node.planner.renounce(fencing)
-                site.engines.engines[planner_fixtures.address_of(site, before.members[1])].mode = (
-                    fleet.Mode.SILENT
-                )
+                site.engines.engines[
+                    planner_fixtures.address_of(site, before.members[1])
+                ].reachability = fleet.Reachability.SILENT
                 await trio.sleep(60)
-                self.assertEqual([], node.whole_groups())
+                self.assertEqual([], node.complete_groups())
 
         planner_fixtures.run(test)
 
--- a/tests/test_planner_safety.py
+++ b/tests/test_planner_safety.py
@@ -20,17 +20,17 @@
         # would take the VM out of that group, and requests in flight there would fail.
         async def test():
             async with planner_fixtures.running_site() as site:
-                gate = trio.Event()
-                old = site.start("old", gate=gate)
+                order_gate = trio.Event()
+                old = site.start("old", order_gate=order_gate)
                 await planner_fixtures.wait_until(lambda: list(old.plans.groups()))
                 site.platform.set_mode("down", "old")
-                site.engine(0).mode = fleet.Mode.REFUSING
+                site.engine(0).reachability = fleet.Reachability.REFUSING
                 new = site.start("new")
-                await planner_fixtures.wait_until(new.whole_groups)
-                gate.set()
+                await planner_fixtures.wait_until(new.complete_groups)
+                order_gate.set()
                 await trio.sleep(2)
                 self.assertEqual(["domain-0-0"], [each.plan.domain for each in new.plans.domains()])
-                self.assertEqual(1, len(new.whole_groups()))
+                self.assertEqual(1, len(new.complete_groups()))
                 self.assertEqual(1, len(planner_fixtures.join_orders_of(site.engine(1))))
 
         planner_fixtures.run(test)
@@ -41,17 +41,17 @@
         # planner ordered in the meantime shows in the engine's report and is undone.
         async def test():
             async with planner_fixtures.running_site(fencing=inventory.Fencing.IGNORED) as site:
-                gate = trio.Event()
-                old = site.start("old", gate=gate)
+                order_gate = trio.Event()
+                old = site.start("old", order_gate=order_gate)
                 await planner_fixtures.wait_until(lambda: list(old.plans.groups()))
                 site.platform.set_mode("down", "old")
-                site.engine(0).mode = fleet.Mode.REFUSING
+                site.engine(0).reachability = fleet.Reachability.REFUSING
                 new = site.start("new")
                 await planner_fixtures.wait_until(lambda: new.lease.is_held())
                 await trio.sleep(terms.MAX_PAUSE_S / 2)
                 self.assertEqual([], planner_fixtures.join_orders_of(site.engine(1)))
-                gate.set()
-                await planner_fixtures.wait_until(new.whole_groups, terms.MAX_PAUSE_S)
+                order_gate.set()
+                await planner_fixtures.wait_until(new.complete_groups, terms.MAX_PAUSE_S)
                 first, second = planner_fixtures.join_orders_of(site.engine(1))
                 self.assertLess(first.generation, second.generation)
                 await trio.sleep(20)
@@ -66,11 +66,11 @@
                 fencing=inventory.Fencing.IGNORED, probe=probe
             ) as site:
                 old = site.start("old")
-                await planner_fixtures.wait_until(old.whole_groups)
+                await planner_fixtures.wait_until(old.complete_groups)
                 old.scope.cancel()
-                site.engine(0).mode = fleet.Mode.REFUSING
+                site.engine(0).reachability = fleet.Reachability.REFUSING
                 new = site.start("new")
-                waited_s = await planner_fixtures.wait_until(new.whole_groups)
+                waited_s = await planner_fixtures.wait_until(new.complete_groups)
                 self.assertLess(waited_s, 10)
 
         planner_fixtures.run(test)
@@ -84,7 +84,7 @@
                 )
                 first.scope.cancel()
                 second = site.start("second")
-                await planner_fixtures.wait_until(second.whole_groups)
+                await planner_fixtures.wait_until(second.complete_groups)
                 self.assertEqual(1, len(planner_fixtures.join_orders_of(site.engine(0))))
                 self.assertEqual(1, len(planner_fixtures.join_orders_of(site.engine(1))))
 
@@ -96,18 +96,21 @@
         async def test():
             async with planner_fixtures.running_site() as site:
                 old = site.start("old")
-                await planner_fixtures.wait_until(old.whole_groups)
-                before = old.whole_groups()
+                await planner_fixtures.wait_until(old.complete_groups)
+                before = old.complete_groups()
                 old.scope.cancel()
                 await trio.sleep(5)
                 new = site.start(
-                    "new", cut={engine.vm.address for engine in planner_fixtures.engines(site)}
+                    "new",
+                    unreachable_addresses={
+                        engine.vm.address for engine in planner_fixtures.engines(site)
+                    },
                 )
                 await planner_fixtures.wait_until(lambda: new.lease.is_held())
                 await trio.sleep(0.5)
-                new.backends.cut.clear()
-                await planner_fixtures.wait_until(new.whole_groups)
-                self.assertEqual(before[0].generation, new.whole_groups()[0].generation)
+                new.backends.unreachable_addresses.clear()
+                await planner_fixtures.wait_until(new.complete_groups)
+                self.assertEqual(before[0].generation, new.complete_groups()[0].generation)
 
         planner_fixtures.run(test)
 
@@ -138,12 +141,12 @@
                 await planner_fixtures.wait_until(lambda: planner_fixtures.is_formed(node))
                 faults = site.platform.faults["node"]
                 faults.lose_kinds, faults.lose_requests = ("kv/txn", "kv/range"), 1000
-                site.engine(0).mode = fleet.Mode.REFUSING
+                site.engine(0).reachability = fleet.Reachability.REFUSING
                 await trio.sleep(2)
                 self.assertFalse(node.planner.writer.is_confirmed("domain-0-0"))
                 self.assertEqual([], planner_fixtures.leave_times_s_of(site.engine(1)))
                 faults.lose_requests = 0
-                await planner_fixtures.wait_until(node.whole_groups)
+                await planner_fixtures.wait_until(node.complete_groups)
 
         planner_fixtures.run(test)
 
@@ -182,7 +185,7 @@
                 node = site.start("node")
                 await planner_fixtures.wait_until(lambda: planner_fixtures.is_formed(node))
                 await planner_fixtures.delete_plan(site)
-                (before,) = node.whole_groups()
+                (before,) = node.complete_groups()
                 site.engine(0).restart()
                 await planner_fixtures.wait_until(
                     lambda: planner_fixtures.has_later_generation(node, before)
@@ -197,13 +200,13 @@
         async def test():
             async with planner_fixtures.running_site() as site:
                 old = site.start("old")
-                await planner_fixtures.wait_until(old.whole_groups)
-                (before,) = old.whole_groups()
+                await planner_fixtures.wait_until(old.complete_groups)
+                (before,) = old.complete_groups()
                 old.scope.cancel()
                 await planner_fixtures.delete_plan(site)
                 new = site.start("new")
-                await planner_fixtures.wait_until(new.whole_groups)
-                (after,) = new.whole_groups()
+                await planner_fixtures.wait_until(new.complete_groups)
+                (after,) = new.complete_groups()
                 self.assertGreater(after.generation, before.generation)
 
         planner_fixtures.run(test)
--- a/tools/measure/planning.py
+++ b/tools/measure/planning.py
@@ -87,13 +87,13 @@
             )
             nursery.start_soon(node.run)
             await trio.sleep(WARM_UP_S)
-            before = self._joins(engines), store.loads
+            before = self._joins(engines), store.load_count
             nursery.start_soon(self._fail_vms, list(engines.engines.values()))
             nursery.start_soon(self._take_zone_out, node)
             nursery.start_soon(self._darken, list(engines.engines.values()))
             await self._sample(node, list(engines.engines.values()), DURATION_S)
             self.tally.joins = self._joins(engines) - before[0]
-            self.tally.loads = store.loads - before[1]
+            self.tally.loads = store.load_count - before[1]
             nursery.cancel_scope.cancel()
         return self.tally
 
@@ -101,7 +101,7 @@
         until_s = trio.current_time() + duration_s
         while trio.current_time() < until_s:
             await trio.sleep(SAMPLE_S)
-            serving = node.whole_groups()
+            serving = node.complete_groups()
             self._count_downtime(serving)
             self._count_stranded(serving, engines)
 
@@ -118,7 +118,8 @@
         healthy = [
             engine
             for engine in engines
-            if engine.mode is fleet.Mode.UP and engine.vm.availability_zone != self.zone_out
+            if engine.reachability is fleet.Reachability.UP
+            and engine.vm.availability_zone != self.zone_out
         ]
         idle = sum(each.vm.accelerators for each in healthy if each.vm.vm not in used)
         wanted = sum(each.replicas * each.vms_per_replica for each in self.site.services)
@@ -130,22 +131,22 @@
         async with trio.open_nursery() as nursery:
             while True:
                 await trio.sleep(self.rng.expovariate(1 / FAILURE_INTERVAL_S))
-                up = [engine for engine in engines if engine.mode is fleet.Mode.UP]
+                up = [engine for engine in engines if engine.reachability is fleet.Reachability.UP]
                 self.tally.failures += 1
                 nursery.start_soon(self._fail, self.rng.choice(up))
 
     async def _fail(self, engine: fleet.MemoryEngine) -> None:
         kind = self.rng.random()
         if kind < 0.5:
-            engine.mode = fleet.Mode.REFUSING
+            engine.reachability = fleet.Reachability.REFUSING
             await trio.sleep(self.rng.uniform(10, 60))
             engine.restart()
         elif kind < 0.75:
-            engine.mode = fleet.Mode.SILENT
+            engine.reachability = fleet.Reachability.SILENT
             await trio.sleep(self.rng.uniform(0.5, 12))
-            engine.mode = fleet.Mode.UP
+            engine.reachability = fleet.Reachability.UP
         else:
-            engine.mode = fleet.Mode.SILENT
+            engine.reachability = fleet.Reachability.SILENT
             await trio.sleep(self.rng.uniform(120, 600))
             engine.restart()
 
@@ -161,7 +162,7 @@
         await trio.sleep(DARK_S[0])
         dark = [engine for engine in engines if engine.vm.fabric_domain == "domain-2-0"]
         for engine in dark:
-            engine.mode = fleet.Mode.SILENT
+            engine.reachability = fleet.Reachability.SILENT
         await trio.sleep(DARK_S[1] - DARK_S[0])
         for engine in dark:
             engine.restart()
@@ -170,7 +171,7 @@
         return sum(
             isinstance(order, client.JoinOrder)
             for engine in engines.engines.values()
-            for _, order in engine.history
+            for _, order in engine.executed_orders
         )
 
 
