--- a/standins/service.py
+++ b/standins/service.py
@@ -62,13 +62,13 @@
         self.records = 0
         self.boot_id = uuid.uuid4().hex
         self.started_s: float | None = None
-        self.slots = trio.CapacityLimiter(self.settings.slots)
+        self.slot_limiter = trio.CapacityLimiter(self.settings.slots)
 
     async def run(self) -> None:
         """Record the start time, from which the time until warm is counted."""
         self.started_s = trio.current_time()
 
-    def load(self) -> dict[str, typing.Any]:
+    def load_report(self) -> dict[str, typing.Any]:
         """Return the load report."""
         started_s = trio.current_time() if self.started_s is None else self.started_s
         warm = self.settings.warm or trio.current_time() - started_s >= self.settings.warm_s
@@ -77,8 +77,8 @@
             "boot_id": self.boot_id,
             "warmth": "warm" if warm else "cold",
             "bearable": self.settings.bearable,
-            "running": self.slots.borrowed_tokens,
-            "waiting": self.slots.statistics().tasks_waiting,
+            "running": self.slot_limiter.borrowed_tokens,
+            "waiting": self.slot_limiter.statistics().tasks_waiting,
             "slots": self.settings.slots,
             "leaving": self.faults.leaving,
         }
@@ -101,7 +101,7 @@
         if exchange.path == "/health":
             await exchange.respond(200, {"status": "ok"})
         elif exchange.path == "/v1/load":
-            await exchange.respond(200, self.load())
+            await exchange.respond(200, self.load_report())
         elif exchange.method == "GET" and exchange.path.startswith("/records/"):
             self.records += 1
             record = exchange.path.removeprefix("/records/")
@@ -129,7 +129,7 @@
             body = json.loads(exchange.body or b"null")
         except ValueError:
             body = exchange.body.decode(errors="replace")
-        async with self.slots:
+        async with self.slot_limiter:
             await trio.sleep(self.settings.run_s)
             order = {
                 "key": exchange.headers.get("idempotency-key"),
--- a/tests/proof/servers.py
+++ b/tests/proof/servers.py
@@ -69,7 +69,7 @@
         if self.service:
             self.app.faults.leaving = True
         else:
-            self.app.engine.leaving = True
+            self.app.engine.is_leaving = True
 
     def kill(self) -> None:
         """End its program; connections break."""
@@ -101,7 +101,7 @@
 
     def place(self) -> tuple[str, int] | None:
         """Return the group and generation that it is in."""
-        place = self.app.engine.group() if self.alive and not self.service else None
+        place = self.app.engine.loaded_place() if self.alive and not self.service else None
         return (place.group, place.generation) if place else None
 
 
@@ -127,13 +127,13 @@
         self.note_left()
         super().leave()
 
-    def order(self, order: dict) -> None:
+    def execute_order(self, order: dict) -> None:
         record = functools.partial(
             history.OrderReceived, self.server.vm, order["order"], order.get("fencing", 0)
         )
         cut = self._served_by_group() if order["order"] in ("join", "leave") else 0
         try:
-            super().order(order)
+            super().execute_order(order)
         except serving.HttpError:
             self.server.site.history.record(record(False))
             raise
@@ -158,14 +158,14 @@
                 return 0
         return len(members[0].app.engine.run_scopes)
 
-    async def _load(self, place: engine.Group) -> None:
-        await trio.sleep_until(place.loaded_s)
+    async def _load(self, place: engine.GroupMembership) -> None:
+        await trio.sleep_until(place.loaded_at_s)
         if self.place is place and self.server.alive:
             joined = history.Joined(self.server.vm, place.group, place.generation)
             self.server.site.history.record(joined)
 
-    def _start(self, run: engine.Run) -> None:
-        place, now_s = self.group(), trio.current_time()
+    def _start_run(self, run: engine.CompletionRun) -> None:
+        place, now_s = self.loaded_place(), trio.current_time()
         if place is None:
             raise serving.DropConnectionError
         servers = [self.server.site.server_at(address) for address in place.members]
@@ -180,8 +180,8 @@
                 self.server.vm,
                 run.request_id,
                 run.prompt,
-                running=self.slots.statistics().borrowed_tokens,
-                cold_for_s=None if self.warm else now_s - self.cold_since_s,
+                running=self.slot_limiter.statistics().borrowed_tokens,
+                cold_for_s=None if self.is_warm else now_s - self.cold_since_s,
                 bearable=self.settings.bearable,
                 group=place.group,
                 generation=place.generation,
@@ -189,9 +189,9 @@
                 absent=tuple(absent),
             )
         )
-        super()._start(run)
+        super()._start_run(run)
 
-    async def generate(self, run: engine.Run, emit) -> None:
+    async def generate(self, run: engine.CompletionRun, emit) -> None:
         async def emit_and_record(index: int, token: str) -> None:
             await emit(index, token)
             sent = history.TokenSent(self.server.vm, run.request_id, index)
@@ -212,20 +212,20 @@
 
     async def run(self) -> None:
         while True:
-            await trio.sleep(engine.CHECK_INTERVAL_S)
-            place = self.engine.group()
-            if place is None or place.rank != 0 or self.engine.gone():
+            await trio.sleep(engine.MEMBER_CHECK_INTERVAL_S)
+            place = self.engine.loaded_place()
+            if place is None or place.rank != 0 or self.engine.is_down():
                 continue
             for address in place.members[1:]:
                 other = self.server.site.server_at(address)
                 if not self._is_whole(other, place) and self.engine.place is place:
                     self.engine.leave()
 
-    def _is_whole(self, other: Server, place: engine.Group) -> bool:
+    def _is_whole(self, other: Server, place: engine.GroupMembership) -> bool:
         if not other.alive or self.server.site.pauser.is_paused(other.vm):
             return False
         own = other.app.engine
-        return other.place() == (place.group, place.generation) or own.load()["loading"]
+        return other.place() == (place.group, place.generation) or own.load_report()["loading"]
 
 
 class _Service(service.App):
@@ -241,7 +241,7 @@
             return
         self.running += 1
         request_id = exchange.headers.get("x-request-id", "")
-        cold = self.load()["warmth"] == "cold"
+        cold = self.load_report()["warmth"] == "cold"
         cold_for_s = trio.current_time() - self.started_s if cold else None
         if not (exchange.method == "POST" and self.faults.cut_before_run):
             self.server.site.history.record(
@@ -275,12 +275,12 @@
         with trio.move_on_after(timeout_s):
             await trio.sleep(network.LATENCY_S)
             await self.site.network.wait_open(self.entry, server.vm)
-            if not server.alive or (not server.service and server.app.engine.gone()):
+            if not server.alive or (not server.service and server.app.engine.is_down()):
                 raise client.NotSentError(f"{server.vm} is down")
             while self.site.pauser.is_paused(server.vm):
                 await trio.sleep(0.05)
             await trio.sleep(server.app.faults.slow_s)
-            load = server.app.load() if server.service else server.app.engine.load()
+            load = server.app.load_report() if server.service else server.app.engine.load_report()
             return codec.from_plain(load, client.Report)
         raise client.AnswerLostError(f"{server.vm}: no report in time")
 
@@ -346,7 +346,7 @@
 
 def expected_chat(model: str, prompt: str, tokens: int) -> list[str]:
     """Return the tokens of a whole answer."""
-    run = engine.Run("", model, prompt, tokens, None)
+    run = engine.CompletionRun("", model, prompt, tokens, None)
     return [run.token(index) for index in range(tokens)]
 
 
