--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -1,4 +1,4 @@
-"""Model servers in memory that register themselves, join groups and check what must never be."""
+"""In-memory model servers that register, join groups and check invariants of groups."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from toucanhold.routes import table
 
 REGISTRATIONS_PREFIX = "registrations/"
-REJOIN_S = 0.2
+LOADED_JOIN_S = 0.2
 STALL_S = 4.0
 FORM_S = 0.3
-LAG_S = 0.2
+PROBE_LAG_S = 0.2
 HEARTBEAT_S = 1.2
 SERVICE = "writers"
 LARGE = table.Model("large", size=4, share=0.57, pace=1.0, load_s=16.0, warm_s=1.6)
@@ -26,7 +26,7 @@
 
 
 def new_engine(*models: table.Model, slots: int = 13) -> table.Engine:
-    """Return what all servers of the service have in common."""
+    """Return the engine configuration that all servers of the service share."""
     return table.Engine(
         models=models or (LARGE, SMALL),
         slots=slots,
@@ -41,7 +41,7 @@
 
 
 def new_routes(engine: table.Engine, *routes: table.Route, version: int = 1) -> table.RouteTable:
-    """Return a configuration with one model service, and plain services as routes need them."""
+    """Return a route table with one model service and the plain services that the routes name."""
     names = {share.service for route in routes for share in route.split} - {SERVICE}
     services = {name: table.Service(name, 0.0) for name in names}
     services[SERVICE] = table.Service(SERVICE, 36.0, engine)
@@ -52,8 +52,8 @@
     return table.RouteTable(version, hosts, services, {}, False, limits)
 
 
-def decode(item: keyvalue.Item) -> servers.Server | None:
-    """Read a registration as these servers write it."""
+def decode_registration(item: keyvalue.Item) -> servers.Server | None:
+    """Return the server that a registration describes, or None when it is malformed."""
     try:
         return codec.from_json(item.value, servers.Server)
     except codec.CodecError:
@@ -62,10 +62,22 @@
 
 @attrs.define(eq=False)
 class MemoryServer:
-    """One server's life after life.
-
-    :ivar mode: ``up``, ``dark`` (dead, and silent to all), ``apart`` (alive, reached by nobody),
-        ``unlisted`` (alive and reached, but cut off from the key-value service)
+    """One model server, across its restarts.
+
+    :ivar domain: fabric domain
+    :ivar born_ms: start time of its present process; increases with each restart
+    :ivar mode: ``up``, ``dark`` (dead and unreachable), ``apart`` (running, but unreachable from
+        entries and the key-value service), ``unlisted`` (running and reachable, but partitioned
+        from the key-value service)
+    :ivar staged: models staged on its host
+    :ivar model: model that it has loaded; empty for none
+    :ivar order_count: number of orders that it has begun to execute
+    :ivar membership: its present group membership
+    :ivar members: names of the members of its present group by rank
+    :ivar former_membership: membership and members of the group that it left last
+    :ivar stalled_at_s: time on trio's clock since which it waits, as a head, for a missing member
+    :ivar order_count_history: values of ``order_count`` as (time on trio's clock, count)
+    :ivar ready_epochs: groups and epochs in which it has become ready
     """
 
     name: str
@@ -79,18 +91,18 @@
     order_count: int = 0
     membership: servers.Membership | None = None
     members: tuple[str, ...] = ()
-    left: tuple[servers.Membership | None, tuple[str, ...]] = (None, ())
+    former_membership: tuple[servers.Membership | None, tuple[str, ...]] = (None, ())
     stalled_at_s: float = float("inf")
-    counted: list[tuple[float, int]] = attrs.field(factory=list)
-    ready_names: set[tuple[str, int]] = attrs.field(factory=set)
+    order_count_history: list[tuple[float, int]] = attrs.field(factory=list)
+    ready_epochs: set[tuple[str, int]] = attrs.field(factory=set)
 
     @property
-    def is_reached(self) -> bool:
-        """Whether it lives, and requests and orders reach it."""
+    def is_reachable(self) -> bool:
+        """Whether it runs, and requests and orders reach it."""
         return self.mode in ("up", "unlisted")
 
-    def state(self) -> servers.Server:
-        """Return what it says of itself."""
+    def registration(self) -> servers.Server:
+        """Return its registration."""
         return servers.Server(
             server_id=self.name,
             born_ms=self.born_ms,
@@ -109,102 +121,119 @@
 
 @attrs.define(eq=False)
 class MemoryServers(orders.EngineClient):
-    """All servers; orders may be lost or come late.
-
-    :ivar store: where they register
-    :ivar lose_share: part of the orders that get no answer and are carried out late
-    :ivar broken: what must never be and was
-    :ivar loads: times at which loads from the weight store began
+    """Client of a fleet of in-memory servers; orders may be lost or delayed.
+
+    :ivar store: key-value service with which the servers register
+    :ivar order_loss_rate: fraction of orders that get no response and are executed late
+    :ivar servers: servers by name
+    :ivar violations: descriptions of violated invariants
+    :ivar load_starts_s: times on trio's clock at which loads from the weight store started
+    :ivar sent_orders: orders sent as (time on trio's clock, server name, order)
     """
 
     store: keyvalue.KeyValueClient
     engine: table.Engine
     nursery: trio.Nursery
     rng: random.Random = attrs.field(factory=lambda: random.Random(0))
-    lose_share: float = 0.0
+    order_loss_rate: float = 0.0
     servers: dict[str, MemoryServer] = attrs.field(factory=dict)
-    broken: list[str] = attrs.field(factory=list)
-    loads: list[float] = attrs.field(factory=list)
-    orders: list[tuple[float, str, orders.Order]] = attrs.field(factory=list)
+    violations: list[str] = attrs.field(factory=list)
+    load_starts_s: list[float] = attrs.field(factory=list)
+    sent_orders: list[tuple[float, str, orders.Order]] = attrs.field(factory=list)
 
     async def add(self, name: str, domain: str, zone: str = "zone-a", **state) -> MemoryServer:
-        """Start a server."""
+        """Start and register a server.
+
+        :param state: further fields of :class:`MemoryServer`
+        """
         server = MemoryServer(name, domain, zone, **state)
         self.servers[name] = server
-        await self.publish(server)
+        await self.register(server)
         return server
 
-    async def publish(self, server: MemoryServer) -> None:
-        """Register a server as it is now; a dead or cut off one registers nothing."""
-        if not server.is_reached:
+    async def register(self, server: MemoryServer) -> None:
+        """Update the registration of a server, unless it cannot reach the key-value service."""
+        if not server.is_reachable:
             return
-        server.counted.append((trio.current_time(), server.order_count))
+        server.order_count_history.append((trio.current_time(), server.order_count))
         if server.mode == "unlisted":
             return
-        write = keyvalue.Write(REGISTRATIONS_PREFIX + server.name, codec.to_json(server.state()))
+        write = keyvalue.Write(
+            REGISTRATIONS_PREFIX + server.name, codec.to_json(server.registration())
+        )
         with contextlib.suppress(keyvalue.KeyValueError):
             await self.store.commit([], [write])
 
-    async def darken(self, name: str, mode: str = "dark") -> None:
-        """Let a server die silently, or be cut off; its registration lapses."""
+    async def make_unreachable(self, name: str, mode: str = "dark") -> None:
+        """Let a server die or be partitioned without warning; its registration expires.
+
+        :param mode: see :class:`MemoryServer`
+        """
         server = self.servers[name]
         server.mode = mode
-        if not server.is_reached:
+        if not server.is_reachable:
             self._stall_heads_of(name)
-        self.nursery.start_soon(self._lapse, server)
+        self.nursery.start_soon(self._expire_registration, server)
 
-    async def cut_off_together(self, names: list[str]) -> None:
-        """Cut servers off that go on reaching each other; their groups miss nobody."""
+    async def partition_together(self, names: list[str]) -> None:
+        """Partition servers that still reach each other, so that their groups do not stall."""
         for name in names:
             self.servers[name].mode = "apart"
-            self.nursery.start_soon(self._lapse, self.servers[name])
+            self.nursery.start_soon(self._expire_registration, self.servers[name])
 
     async def restart(self, name: str) -> None:
-        """Start a dead server again under its name."""
+        """Start a new process of a server under the same name."""
         server = self.servers[name]
         server.born_ms += 1
         server.mode, server.order_count, server.is_leaving = "up", 0, False
         server.membership, server.members, server.model = None, (), ""
-        server.left = None, ()
+        server.former_membership = None, ()
         server.stalled_at_s = float("inf")
-        server.ready_names.clear()
-        await self.publish(server)
+        server.ready_epochs.clear()
+        await self.register(server)
 
     async def reconnect(self, name: str) -> None:
-        """Let a server that was cut off be reached again."""
+        """Make a partitioned server reachable again."""
         self.servers[name].mode = "up"
-        await self.publish(self.servers[name])
+        await self.register(self.servers[name])
 
     async def send(
         self, server: servers.Server, order: orders.Order, order_count: int, fence: int
     ) -> orders.OrderOutcome:
         """See :class:`orders.EngineClient`."""
         await trio.sleep(0.002)
-        self.orders.append((trio.current_time(), server.server_id, order))
+        self.sent_orders.append((trio.current_time(), server.server_id, order))
         target = self.servers[server.server_id]
-        if not target.is_reached:
+        if not target.is_reachable:
             await trio.sleep(0.3)
             return orders.OrderOutcome.UNREACHABLE
-        if self.rng.random() < self.lose_share:
-            self.nursery.start_soon(self._carry_out_late, target, order, order_count)
+        if self.rng.random() < self.order_loss_rate:
+            self.nursery.start_soon(self._execute_late, target, order, order_count)
             await trio.sleep(0.4)
             return orders.OrderOutcome.LOST
         if target.born_ms != server.born_ms:
             return orders.OrderOutcome.UNREACHABLE
-        return await self._carry_out(target, order, order_count)
+        return await self._execute(target, order, order_count)
 
     async def probe(self, server: servers.Server) -> servers.Server | None:
         """See :class:`orders.EngineClient`."""
         await trio.sleep(0.002)
         target = self.servers[server.server_id]
-        if not target.is_reached:
+        if not target.is_reachable:
             await trio.sleep(0.3)
             return None
-        counted = [(at_s, n) for at_s, n in target.counted if at_s <= trio.current_time() - LAG_S]
-        return attrs.evolve(target.state(), order_count=counted[-1][1] if counted else 0)
+        order_count_history = [
+            (at_s, n)
+            for at_s, n in target.order_count_history
+            if at_s <= trio.current_time() - PROBE_LAG_S
+        ]
+        return attrs.evolve(
+            target.registration(),
+            order_count=order_count_history[-1][1] if order_count_history else 0,
+        )
 
-    def open_groups(self) -> dict[str, MemoryServer]:
-        """Return the heads that serve, by group."""
+    def serving_heads(self) -> dict[str, MemoryServer]:
+        """Return the heads that serve requests, by group."""
         return {
             server.membership.group: server
             for server in self.servers.values()
@@ -214,28 +243,34 @@
             and server.stalled_at_s == float("inf")
         }
 
-    def run_request(self, head: str, size: int) -> None:
-        """Check that the group of a head that gets a request is whole."""
+    def check_request(self, head: str, group_size: int) -> None:
+        """Check the invariant that a head serves requests only in a complete group.
+
+        Records a violation otherwise.
+
+        :param head: name of the head that receives a request
+        :param group_size: expected number of members
+        """
         server = self.servers[head]
         membership = server.membership
         if membership is None or membership.state is not servers.GroupState.OPEN:
             return
         key = membership.group, membership.epoch
-        if len(server.members) != size:
-            self.broken.append(f"{head}: a request in a group of {len(server.members)}")
+        if len(server.members) != group_size:
+            self.violations.append(f"{head}: a request in a group of {len(server.members)}")
         for name in server.members:
-            if key not in self.servers[name].ready_names and self.servers[name].is_reached:
-                self.broken.append(f"{head}: {name} was never ready in {key}")
+            if key not in self.servers[name].ready_epochs and self.servers[name].is_reachable:
+                self.violations.append(f"{head}: {name} was never ready in {key}")
 
-    async def _carry_out_late(
+    async def _execute_late(
         self, target: MemoryServer, order: orders.Order, order_count: int
     ) -> None:
         born_ms = target.born_ms
         await trio.sleep(self.rng.uniform(2, 12))
-        if target.is_reached and target.born_ms == born_ms:
-            await self._carry_out(target, order, order_count)
+        if target.is_reachable and target.born_ms == born_ms:
+            await self._execute(target, order, order_count)
 
-    async def _carry_out(
+    async def _execute(
         self, target: MemoryServer, order: orders.Order, order_count: int
     ) -> orders.OrderOutcome:
         if isinstance(order, orders.Join) and self._is_joined(target, order):
@@ -255,8 +290,8 @@
         if order.model in target.staged:
             return orders.OrderOutcome.HOLDS
         target.order_count += 1
-        target.counted.append((trio.current_time(), target.order_count))
-        self.loads.append(trio.current_time())
+        target.order_count_history.append((trio.current_time(), target.order_count))
+        self.load_starts_s.append(trio.current_time())
         self.nursery.start_soon(self._finish_staging, target, order, target.born_ms)
         return orders.OrderOutcome.BEGUN
 
@@ -266,9 +301,9 @@
         model = self.engine.model(order.model)
         assert model is not None
         await trio.sleep(model.load_s)
-        if target.born_ms == born_ms and target.is_reached:
+        if target.born_ms == born_ms and target.is_reachable:
             target.staged = (order.model,)
-            await self.publish(target)
+            await self.register(target)
 
     def _is_joined(self, target: MemoryServer, order: orders.Join) -> bool:
         membership = target.membership
@@ -281,46 +316,47 @@
         membership = target.membership
         if membership is not None and order.epoch < membership.epoch:
             return orders.OrderOutcome.REFUSED
-        self._check_head_of(target)
+        self._check_old_head(target)
         self._stall_heads_of(target.name)
         model = self.engine.model(order.model)
         assert model is not None
-        duration_s = REJOIN_S
+        join_duration_s = LOADED_JOIN_S
         if target.model != model.name:
-            duration_s = model.warm_s if model.name in target.staged else model.load_s
-            if duration_s == model.load_s:
-                self.loads.append(trio.current_time())
+            join_duration_s = model.warm_s if model.name in target.staged else model.load_s
+            if join_duration_s == model.load_s:
+                self.load_starts_s.append(trio.current_time())
         target.order_count += 1
         target.members = order.members
         rank = order.members.index(target.name)
         joining = servers.GroupState.JOINING
         target.membership = servers.Membership(order.group, order.epoch, rank, joining)
         target.stalled_at_s = float("inf")
-        await self.publish(target)
-        self.nursery.start_soon(self._finish_join, target, order, duration_s, target.born_ms)
+        await self.register(target)
+        self.nursery.start_soon(self._finish_join, target, order, join_duration_s, target.born_ms)
         return orders.OrderOutcome.BEGUN
 
     async def _finish_join(
-        self, target: MemoryServer, order: orders.Join, duration_s: float, born_ms: int
+        self, target: MemoryServer, order: orders.Join, join_duration_s: float, born_ms: int
     ) -> None:
-        await trio.sleep(duration_s)
+        await trio.sleep(join_duration_s)
         if target.born_ms != born_ms or not self._is_joined(target, order):
             return
         target.model = order.model
         target.staged = (order.model,)
-        target.ready_names.add((order.group, order.epoch))
-        await self._move(target, servers.GroupState.READY)
+        target.ready_epochs.add((order.group, order.epoch))
+        await self._set_state(target, servers.GroupState.READY)
 
     async def _change(self, target: MemoryServer, order: orders.Order) -> orders.OrderOutcome:
         assert target.membership is not None
         state = target.membership.state
         if isinstance(order, orders.Leave):
-            # Done by the time of the answer, which therefore says that it holds; it counts.
+            # Leaving is complete when the response is sent, so the outcome is HOLDS, not BEGUN;
+            # the order still counts.
             target.order_count += 1
-            target.left = target.membership, target.members
+            target.former_membership = target.membership, target.members
             target.membership, target.members = None, ()
             self._stall_heads_of(target.name)
-            await self.publish(target)
+            await self.register(target)
             return orders.OrderOutcome.HOLDS
         if isinstance(order, orders.Open):
             if state is servers.GroupState.OPEN:
@@ -328,62 +364,63 @@
             if state is not servers.GroupState.READY:
                 return orders.OrderOutcome.REFUSED
             target.order_count += 1
-            target.counted.append((trio.current_time(), target.order_count))
+            target.order_count_history.append((trio.current_time(), target.order_count))
             self.nursery.start_soon(self._finish_open, target, target.membership)
             return orders.OrderOutcome.BEGUN
         if state not in (servers.GroupState.OPEN, servers.GroupState.CLOSING):
             return orders.OrderOutcome.HOLDS
         target.order_count += 1
-        await self._move(target, servers.GroupState.READY)
+        await self._set_state(target, servers.GroupState.READY)
         return orders.OrderOutcome.BEGUN
 
     async def _finish_open(self, target: MemoryServer, membership: servers.Membership) -> None:
         await trio.sleep(FORM_S)
         if target.membership == membership and target.mode != "dark":
-            await self._move(target, servers.GroupState.OPEN)
+            await self._set_state(target, servers.GroupState.OPEN)
 
-    async def _move(self, target: MemoryServer, state: servers.GroupState) -> None:
+    async def _set_state(self, target: MemoryServer, state: servers.GroupState) -> None:
         assert target.membership is not None
         target.membership = attrs.evolve(target.membership, state=state)
-        await self.publish(target)
+        await self.register(target)
 
-    def _check_head_of(self, target: MemoryServer) -> None:
-        """Note a join of a server whose head still serves, or stands still but isn't broken.
+    def _check_old_head(self, target: MemoryServer) -> None:
+        """Check the invariant that a server joins a group only when its old head has stopped.
 
-        A server that has left its group is still missed by the head for a while.
+        Records a violation when the head of its present or former group still serves, or stalls
+        but has not broken yet: the head of a group that a member has left stalls for a while.
         """
-        membership, members = target.left
+        membership, members = target.former_membership
         if target.membership is not None:
             membership, members = target.membership, target.members
         if membership is None or not members:
             return
         head = self.servers[members[0]]
-        same = head.membership is not None and (
+        is_same_group = head.membership is not None and (
             (head.membership.group, head.membership.epoch) == (membership.group, membership.epoch)
         )
-        working = (servers.GroupState.OPEN, servers.GroupState.CLOSING)
-        if head.mode == "dark" or not same or head.membership.state not in working:
+        serving_states = (servers.GroupState.OPEN, servers.GroupState.CLOSING)
+        if head.mode == "dark" or not is_same_group or head.membership.state not in serving_states:
             return
         if trio.current_time() < head.stalled_at_s + STALL_S:
-            self.broken.append(f"{target.name} joins another group while {head.name} is open")
+            self.violations.append(f"{target.name} joins another group while {head.name} is open")
 
     def _stall_heads_of(self, name: str) -> None:
         for head in self.servers.values():
-            is_working = (
+            is_serving = (
                 head.membership is not None
                 and head.membership.state is servers.GroupState.OPEN
                 and name in head.members[1:]
             )
-            if is_working and head.stalled_at_s == float("inf"):
+            if is_serving and head.stalled_at_s == float("inf"):
                 head.stalled_at_s = trio.current_time()
-                self.nursery.start_soon(self._break, head, head.membership)
+                self.nursery.start_soon(self._break_after_stall, head, head.membership)
 
-    async def _break(self, head: MemoryServer, membership: servers.Membership) -> None:
+    async def _break_after_stall(self, head: MemoryServer, membership: servers.Membership) -> None:
         await trio.sleep(STALL_S)
-        if head.membership == membership and head.is_reached:
-            await self._move(head, servers.GroupState.BROKEN)
+        if head.membership == membership and head.is_reachable:
+            await self._set_state(head, servers.GroupState.BROKEN)
 
-    async def _lapse(self, server: MemoryServer) -> None:
+    async def _expire_registration(self, server: MemoryServer) -> None:
         born_ms = server.born_ms
         await trio.sleep(3 * HEARTBEAT_S)
         if server.mode != "up" and server.born_ms == born_ms:
--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -148,7 +148,7 @@
             body = await asgi.read_body(receive, 1_000_000)
         except asgi.ClientGoneError:
             return
-        if not self.server.is_reached:
+        if not self.server.is_reachable:
             return
         lines = {key.decode(): value.decode() for key, value in scope["headers"]}
         if lines.get("x-target-instance", self.name) != self.name:
@@ -164,7 +164,7 @@
                 nursery.cancel_scope.cancel()
 
     async def _report(self, send):
-        state = await self.fleet.probe(self.server.state())
+        state = await self.fleet.probe(self.server.registration())
         if state is not None:
             await asgi.respond_json(
                 send, 200, plain_state(state) | {"seq": state.order_count, "busy": False}
@@ -179,7 +179,7 @@
                 fields["finishes_work"] = plain["mode"] == "wait"
         order = ORDERS[plain["op"]](**fields)
         outcome = await self.fleet.send(
-            self.server.state(), order, plain["precondition"], plain["fence"]
+            self.server.registration(), order, plain["precondition"], plain["fence"]
         )
         statuses = {
             orders.OrderOutcome.BEGUN: 202,
@@ -191,7 +191,7 @@
 
     async def _run(self, scope, lines, send):
         server = self.server
-        state = server.state()
+        state = server.registration()
         is_model = bool(state.domain)
         if is_model:
             membership = server.membership
@@ -203,7 +203,7 @@
                 await trio.sleep(replicas.STALL_S)
                 await asgi.respond(send, 503, [(b"x-not-executed", b"1")], b"")
                 return
-            self.fleet.run_request(self.name, size)
+            self.fleet.check_request(self.name, size)
         self.runs.note(lines["x-attempt-id"], self.name)
         seal = [
             (b"x-attempt-id", lines["x-attempt-id"].encode()),
@@ -213,7 +213,7 @@
             await self._stream(lines, [*seal, (b"content-type", b"text/event-stream")], send)
             return
         await trio.sleep(WORK_S)
-        if self.server.is_reached:
+        if self.server.is_reachable:
             await asgi.respond(send, 200, seal, urllib.parse.unquote(scope["path"]).encode())
 
     async def _stream(self, lines, seal, send):
@@ -223,7 +223,7 @@
             await trio.sleep(EVENT_S)
             while self.server.stalled_at_s < float("inf"):
                 await trio.sleep(EVENT_S)
-            if not self.server.is_reached or self.server.born_ms != born_ms:
+            if not self.server.is_reachable or self.server.born_ms != born_ms:
                 return
             await asgi.write(send, f"id: {number}\ndata: word-{number}\n\n".encode(), True)
         await asgi.write(send, b"", False)
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -123,7 +123,7 @@
             mode = self.site.rng.choice(("dark", "apart", "unlisted"))
             for_s = self.site.rng.uniform(0.5, 8)
             self._tell(f"{name}: {mode} for {for_s:.1f} s")
-            await self.site.fleet.darken(name, mode)
+            await self.site.fleet.make_unreachable(name, mode)
             if mode != "unlisted":
                 self.site.server_proxies[name].set_mode("silent")
             await trio.sleep(for_s)
@@ -139,15 +139,15 @@
             self._tell(f"{name} leaves")
             server = self.site.fleet.servers[name]
             server.is_leaving = True
-            await self.site.fleet.publish(server)
+            await self.site.fleet.register(server)
             await trio.sleep(4)
             await self.site.fleet.restart(name)
             self.busy.discard(name)
 
     async def _lose_orders(self):
-        self.site.fleet.lose_share = 0.4
+        self.site.fleet.order_loss_rate = 0.4
         await trio.sleep(self.site.rng.uniform(0.5, 4))
-        self.site.fleet.lose_share = 0.0
+        self.site.fleet.order_loss_rate = 0.0
 
     async def _configure(self):
         self._tell("a new configuration")
--- a/tests/platform/soak/running.py
+++ b/tests/platform/soak/running.py
@@ -64,12 +64,12 @@
     for entry in site.entries:
         await processes.wait_listening(site.address(entry, "front"))
     names = {model.name for model in sites.MODELS}
-    while {head.model for head in site.fleet.open_groups().values()} != names:
+    while {head.model for head in site.fleet.serving_heads().values()} != names:
         await trio.sleep(0.2)
 
 
 def _check_history(site, record):
-    found = [f"group: {text}" for text in site.fleet.broken]
+    found = [f"group: {text}" for text in site.fleet.violations]
     found += [f"answer: {text}" for text in record.wrong]
     found += [f"process: {text}" for text in site.entry_ends]
     orders = set(record.orders)
--- a/tests/replica_cluster.py
+++ b/tests/replica_cluster.py
@@ -28,7 +28,7 @@
         self.mirror = mirror.Mirror()
         self.watch = watching.ServiceWatch(self.client, self.mirror, lambda: 0.02, rng)
         self.registry = registry.Registry(
-            self.mirror, replicas.REGISTRATIONS_PREFIX, replicas.decode
+            self.mirror, replicas.REGISTRATIONS_PREFIX, replicas.decode_registration
         )
         self.group_table = records.GroupTable(self.mirror)
         self.routes = table.RouteTableHolder(replicas.new_routes(self.engine))
--- a/tests/test_conversion.py
+++ b/tests/test_conversion.py
@@ -225,11 +225,11 @@
             await cluster.wait_for(lambda: node.serving_groups("large"), 60)
             await trio.sleep(25)
             while groups := node.serving_groups("large"):
-                await cluster.fleet.darken(groups[0].record.members[-1].server_id)
+                await cluster.fleet.make_unreachable(groups[0].record.members[-1].server_id)
                 await trio.sleep(8)
             start_s = trio.current_time()
             await cluster.wait_for(lambda: node.serving_groups("large"), 20)
             self.assertLess(trio.current_time() - start_s, 20)
             self.assertTrue(node.serving_groups("small"))
-            self.assertEqual([], cluster.fleet.broken)
+            self.assertEqual([], cluster.fleet.violations)
             nursery.cancel_scope.cancel()
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -37,9 +37,9 @@
     async def _probe(self, nursery, lost):
         platform = memory.MemoryPlatform()
         fleet = replicas.MemoryServers(platform.client("servers"), replicas.new_engine(), nursery)
-        server = (await fleet.add("s1", "d0")).state()
+        server = (await fleet.add("s1", "d0")).registration()
         server_registry = registry.Registry(
-            mirror.Mirror(), replicas.REGISTRATIONS_PREFIX, replicas.decode
+            mirror.Mirror(), replicas.REGISTRATIONS_PREFIX, replicas.decode_registration
         )
         sender = order_sender.OrderSender(
             LossyEngineClient(fleet, lost), server_registry, lambda: 1
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -23,7 +23,7 @@
         prefix = replicas.REGISTRATIONS_PREFIX
         self.mirror = mirror.Mirror()
         self.watch = watching.ServiceWatch(client, self.mirror, lambda: 0.05, random.Random(1))
-        self.registry = registry.Registry(self.mirror, prefix, replicas.decode)
+        self.registry = registry.Registry(self.mirror, prefix, replicas.decode_registration)
 
     async def run(self):
         async with trio.open_nursery() as nursery:
--- a/tests/test_replica_sequences.py
+++ b/tests/test_replica_sequences.py
@@ -53,7 +53,7 @@
             for group in node.group_table.groups.values():
                 if not group.is_ending and group.is_open(node.registry):
                     size = self.cluster.engine.model(group.record.model).size
-                    self.cluster.fleet.run_request(group.head.server_id, size)
+                    self.cluster.fleet.check_request(group.head.server_id, size)
 
     def _healthy_servers(self):
         return [name for name, each in self.cluster.fleet.servers.items() if each.mode == "up"]
@@ -71,7 +71,7 @@
         if len(self.disabled) < 5:
             name = self.rng.choice(self._healthy_servers())
             self.disabled.append(name)
-            await self.cluster.fleet.darken(name, mode)
+            await self.cluster.fleet.make_unreachable(name, mode)
             for node in self.cluster.nodes.values():
                 node.planner.suspect(name)
 
@@ -86,12 +86,12 @@
     async def _drain_server(self):
         server = self.cluster.fleet.servers[self.rng.choice(self._healthy_servers())]
         server.is_leaving = True
-        await self.cluster.fleet.publish(server)
+        await self.cluster.fleet.register(server)
         await trio.sleep(3)
         await self.cluster.fleet.restart(server.name)
 
     async def _lose_orders(self):
-        self.cluster.fleet.lose_share = self.rng.choice((0.0, 0.3, 0.6))
+        self.cluster.fleet.order_loss_rate = self.rng.choice((0.0, 0.3, 0.6))
 
     async def _replace_planner(self):
         for node in self.cluster.nodes.values():
@@ -106,7 +106,7 @@
         self.cluster.platform.set_mode("up", name)
 
     async def _end_all_faults(self):
-        self.cluster.fleet.lose_share = 0.0
+        self.cluster.fleet.order_loss_rate = 0.0
         while self.disabled:
             await self._return_server()
 
@@ -137,7 +137,7 @@
             await trio.sleep(RECOVERY_S)
             sequence.check_open_groups()
             (node,) = cluster.nodes.values()
-            self.assertEqual([], cluster.fleet.broken)
+            self.assertEqual([], cluster.fleet.violations)
             self.assertGreaterEqual(len(node.serving_groups("large")), 1)
             self.assertGreaterEqual(len(node.serving_groups("small")), 2)
             nursery.cancel_scope.cancel()
@@ -178,4 +178,4 @@
             await FaultSequence(cluster, seed).run()
             await trio.sleep(30)
             nursery.cancel_scope.cancel()
-        return cluster.fleet.broken
+        return cluster.fleet.violations
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -39,7 +39,7 @@
             self.assertEqual(
                 {"large", "small"}, {cluster.fleet.servers[name].model for name in spares}
             )
-            self.assertEqual([], cluster.fleet.broken)
+            self.assertEqual([], cluster.fleet.violations)
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
@@ -69,11 +69,13 @@
             await cluster.add_servers()
             for name in ("s00", "s01", "s02"):
                 cluster.fleet.servers[name].model = "large"
-                await cluster.fleet.publish(cluster.fleet.servers[name])
+                await cluster.fleet.register(cluster.fleet.servers[name])
             node = cluster.start("entry-1")
             await cluster.wait_for(lambda: node.serving_groups("large"), 60)
             opened_s = next(
-                at_s for at_s, _, order in cluster.fleet.orders if isinstance(order, orders.Open)
+                at_s
+                for at_s, _, order in cluster.fleet.sent_orders
+                if isinstance(order, orders.Open)
             )
             self.assertGreater(opened_s, 16)
             nursery.cancel_scope.cancel()
@@ -87,14 +89,14 @@
             cluster, node = await start_formed_cluster(nursery)
             group = node.serving_groups("large")[0]
             lost = group.record.members[2].server_id
-            await cluster.fleet.darken(lost)
+            await cluster.fleet.make_unreachable(lost)
             await trio.sleep(0.3)
             node.planner.suspect(group.head.server_id)
             start_s = trio.current_time()
             await trio.sleep(0.5)
             await cluster.wait_for(lambda: len(node.serving_groups("large")) == 2, 10)
             self.assertLess(trio.current_time() - start_s, 2.0)
-            self.assertEqual([], cluster.fleet.broken)
+            self.assertEqual([], cluster.fleet.violations)
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
@@ -103,7 +105,7 @@
         async with trio.open_nursery() as nursery:
             cluster, node = await start_formed_cluster(nursery)
             group = node.serving_groups("large")[0]
-            await cluster.fleet.darken(group.record.members[2].server_id)
+            await cluster.fleet.make_unreachable(group.record.members[2].server_id)
             node.planner.suspect(group.head.server_id)
             start_s = trio.current_time()
             await cluster.wait_for(lambda: len(node.serving_groups("large")) == 1, 10)
@@ -117,11 +119,11 @@
         async with trio.open_nursery() as nursery:
             cluster, node = await start_formed_cluster(nursery)
             group = node.serving_groups("large")[0]
-            await cluster.fleet.darken(group.head.server_id, "apart")
+            await cluster.fleet.make_unreachable(group.head.server_id, "apart")
             node.planner.suspect(group.head.server_id)
             await cluster.wait_for(lambda: group.name not in node.group_table.groups, 20)
             await trio.sleep(10)
-            self.assertEqual([], cluster.fleet.broken)
+            self.assertEqual([], cluster.fleet.violations)
             self.assertGreaterEqual(len(node.serving_groups("large")), 1)
             nursery.cancel_scope.cancel()
 
@@ -132,14 +134,14 @@
             cluster, node = await start_formed_cluster(nursery)
             group = node.serving_groups("large")[0]
             names = [member.server_id for member in group.record.members]
-            await cluster.fleet.cut_off_together(names)
+            await cluster.fleet.partition_together(names)
             node.planner.suspect(group.head.server_id)
             await trio.sleep(10)
             for name in names:
                 await cluster.fleet.reconnect(name)
             await cluster.wait_for(lambda: group.name not in node.group_table.groups, 10)
             await cluster.wait_for(lambda: len(node.serving_groups("large")) == 2, 10)
-            self.assertEqual([], cluster.fleet.broken)
+            self.assertEqual([], cluster.fleet.violations)
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
@@ -176,7 +178,7 @@
             partitioned = [
                 name for name, each in cluster.fleet.servers.items() if each.zone == "zone-b"
             ]
-            await cluster.fleet.cut_off_together(partitioned)
+            await cluster.fleet.partition_together(partitioned)
             await trio.sleep(8)
             for name in partitioned:
                 await cluster.fleet.reconnect(name)
@@ -185,7 +187,7 @@
             self.assertEqual(
                 [2, 2], [len(node.serving_groups("large")), len(node.serving_groups("small"))]
             )
-            self.assertEqual([], cluster.fleet.broken)
+            self.assertEqual([], cluster.fleet.violations)
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
@@ -202,7 +204,7 @@
                 node = cluster.start("entry-1")
                 await trio.sleep(25)
                 group, *_ = node.group_table.groups.values()
-                await cluster.fleet.darken(group.head.server_id, "unlisted")
+                await cluster.fleet.make_unreachable(group.head.server_id, "unlisted")
                 await trio.sleep(8)
             self.assertTrue(node.planner.may_act())
             remaining = node.group_table.groups.get(group.name)
@@ -223,7 +225,7 @@
                 if group.head.server_id in dead_servers
             }
             for name in dead_servers:
-                await cluster.fleet.darken(name)
+                await cluster.fleet.make_unreachable(name)
             for group in [node.group_table.groups[name] for name in lost]:
                 node.planner.suspect(group.head.server_id)
             await trio.sleep(1.5)
@@ -238,14 +240,14 @@
             cluster, node = await start_formed_cluster(nursery)
             group = node.serving_groups("large")[0]
             member = group.record.members[2].server_id
-            await cluster.fleet.darken(member, "unlisted")
+            await cluster.fleet.make_unreachable(member, "unlisted")
             for _ in range(60):
                 await trio.sleep(0.2)
                 self.assertIn(group.name, [each.name for each in node.serving_groups("large")])
-            await cluster.fleet.darken(member, "dark")
+            await cluster.fleet.make_unreachable(member, "dark")
             await cluster.wait_for(lambda: group.name not in node.group_table.groups, 2.5)
             await cluster.wait_for(lambda: len(node.serving_groups("large")) == 2, 3)
-            self.assertEqual([], cluster.fleet.broken)
+            self.assertEqual([], cluster.fleet.violations)
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
@@ -254,14 +256,14 @@
         async with trio.open_nursery() as nursery:
             cluster, node = await start_formed_cluster(nursery)
             group = node.serving_groups("large")[0]
-            await cluster.fleet.darken(group.head.server_id, "unlisted")
+            await cluster.fleet.make_unreachable(group.head.server_id, "unlisted")
             await cluster.wait_for(lambda: len(node.serving_groups("large")) == 1, 8)
             await cluster.wait_for(lambda: len(node.serving_groups("large")) == 2, 2.5)
             members = {
                 m.server_id for g in node.group_table.groups.values() for m in g.record.members
             }
             self.assertNotIn(group.head.server_id, members)
-            self.assertEqual([], cluster.fleet.broken)
+            self.assertEqual([], cluster.fleet.violations)
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
@@ -271,14 +273,14 @@
             group = node.serving_groups("small")[0]
             leaving = cluster.fleet.servers[group.record.members[1].server_id]
             leaving.is_leaving = True
-            await cluster.fleet.publish(leaving)
+            await cluster.fleet.register(leaving)
             await cluster.wait_for(lambda: group.name not in node.group_table.groups, 10)
             await cluster.wait_for(lambda: len(node.serving_groups("small")) == 2, 10)
             members = {
                 m.server_id for g in node.group_table.groups.values() for m in g.record.members
             }
             self.assertNotIn(leaving.name, members)
-            self.assertEqual([], cluster.fleet.broken)
+            self.assertEqual([], cluster.fleet.violations)
             nursery.cancel_scope.cancel()
 
 
@@ -289,14 +291,14 @@
         async with trio.open_nursery() as nursery:
             cluster, node = await start_formed_cluster(nursery)
             before = set(node.group_table.groups)
-            orders_before = len(cluster.fleet.orders)
+            orders_before = len(cluster.fleet.sent_orders)
             node.kill()
             await trio.sleep(3)
             second = cluster.start("entry-2")
             await cluster.wait_for(second.planner.may_act, 10)
             await trio.sleep(5)
             self.assertEqual(before, set(second.group_table.groups))
-            self.assertEqual(orders_before, len(cluster.fleet.orders))
+            self.assertEqual(orders_before, len(cluster.fleet.sent_orders))
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
@@ -318,18 +320,18 @@
         async with trio.open_nursery() as nursery:
             cluster, node = await start_formed_cluster(nursery)
             group = node.serving_groups("large")[0]
-            await cluster.fleet.darken(group.record.members[1].server_id)
+            await cluster.fleet.make_unreachable(group.record.members[1].server_id)
             fence = node.planner.order_sender.fence
-            orders_before = len(cluster.fleet.orders)
+            orders_before = len(cluster.fleet.sent_orders)
 
             def fence_after_one_order():
-                return fence() if len(cluster.fleet.orders) <= orders_before + 1 else 0
+                return fence() if len(cluster.fleet.sent_orders) <= orders_before + 1 else 0
 
             node.planner.order_sender.fence = fence_after_one_order
             node.planner.suspect(group.head.server_id)
             await trio.sleep(5)
             self.assertFalse(node.scope.cancelled_caught)
-            self.assertLessEqual(len(cluster.fleet.orders), orders_before + 2)
+            self.assertLessEqual(len(cluster.fleet.sent_orders), orders_before + 2)
             nursery.cancel_scope.cancel()
 
 
@@ -344,20 +346,20 @@
     async def _run_with_lost_orders(self, seed):
         async with trio.open_nursery() as nursery:
             cluster, node = await start_formed_cluster(nursery, seed=seed)
-            cluster.fleet.lose_share = 0.35
+            cluster.fleet.order_loss_rate = 0.35
             for _ in range(3):
                 failed_members = [
                     g.record.members[1].server_id for g in node.serving_groups("large")[:1]
                 ]
                 for name in failed_members:
-                    await cluster.fleet.darken(name)
+                    await cluster.fleet.make_unreachable(name)
                     await trio.sleep(6)
                     await cluster.fleet.restart(name)
-                for head in cluster.fleet.open_groups().values():
-                    cluster.fleet.run_request(head.name, len(head.members))
-            cluster.fleet.lose_share = 0.0
+                for head in cluster.fleet.serving_heads().values():
+                    cluster.fleet.check_request(head.name, len(head.members))
+            cluster.fleet.order_loss_rate = 0.0
             await trio.sleep(45)
-            self.assertEqual([], cluster.fleet.broken)
+            self.assertEqual([], cluster.fleet.violations)
             self.assertGreaterEqual(len(node.serving_groups("large")), 2)
             self.assertGreaterEqual(len(node.serving_groups("small")), 2)
             nursery.cancel_scope.cancel()
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -32,7 +32,9 @@
 class HeadsTest(unittest.TestCase):
     def setUp(self):
         self.copy = mirror.Mirror()
-        known = registry.Registry(self.copy, replicas.REGISTRATIONS_PREFIX, replicas.decode)
+        known = registry.Registry(
+            self.copy, replicas.REGISTRATIONS_PREFIX, replicas.decode_registration
+        )
         self.board = records.GroupTable(self.copy)
         self.closed = set()
         cold = budget.ColdBudget(1.5, 5, gateways.FixedList(gateways.new_entry("e1")))
