--- a/standins/gateways.py
+++ b/standins/gateways.py
@@ -1,4 +1,4 @@
-"""Backend servers in memory that answer calls, and a gateway before them."""
+"""In-memory backend servers, and a gateway that forwards calls to them."""
 
 from __future__ import annotations
 
@@ -58,10 +58,14 @@
 )
 
 
-def new_call(path: str, wait_s: float = 5.0, **fields) -> calls.Call:
-    """Return a caller's request that arrives now."""
+def new_call(path: str, timeout_s: float = 5.0, **fields) -> calls.Call:
+    """Return a call that arrives now.
+
+    :param timeout_s: time until its deadline, seconds
+    :param fields: further fields of :class:`calls.Call`
+    """
     now_s = trio.current_time()
-    given = {
+    field_values = {
         "call_id": "call-1",
         "method": "GET",
         "host": HOST,
@@ -71,19 +75,23 @@
         "body": b"",
         "key": None,
         "arrived_s": now_s,
-        "deadline_s": now_s + wait_s,
+        "deadline_s": now_s + timeout_s,
     }
-    return calls.Call(**(given | fields))
+    return calls.Call(**(field_values | fields))
 
 
 @attrs.define(eq=False)
-class MemoryReply(calls.Reply):
-    """What a caller got."""
+class RecordedReply(calls.Reply):
+    """A reply that records what the caller receives.
+
+    :ivar status: HTTP status; 0 before the response starts
+    :ivar chunk_times_s: times on trio's clock at which chunks of the body arrived
+    """
 
     status: int = 0
     body: bytearray = attrs.field(factory=bytearray)
     is_complete: bool = False
-    arrivals_s: list[float] = attrs.field(factory=list)
+    chunk_times_s: list[float] = attrs.field(factory=list)
 
     async def start(self, status: int, headers: calls.Headers, length_bytes: int | None) -> None:
         """See :class:`calls.Reply`."""
@@ -92,7 +100,7 @@
 
     async def send(self, chunk: bytes) -> None:
         """See :class:`calls.Reply`."""
-        self.arrivals_s.append(trio.current_time())
+        self.chunk_times_s.append(trio.current_time())
         self.body += chunk
 
     async def finish(self) -> None:
@@ -101,44 +109,51 @@
 
     @property
     def event_ids(self) -> list[int]:
-        """The ids of the events, in their order."""
+        """The ids of the received events, in order of arrival."""
         lines = bytes(self.body).split(b"\n")
         return [int(line[4:]) for line in lines if line.startswith(b"id: ")]
 
 
 @attrs.define(eq=False)
-class Behaviour:
-    """How a server answers.
-
-    :ivar work_s: time to an answer, or to a stream's first event
-    :ivar gap_s: time between events
-    :ivar events: number of a stream's events
-    :ivar cut_after: events after which the connection breaks; None for never
-    :ivar silent_after: events after which nothing comes any more; None for never
-    :ivar refuses: answers that it has not run the call
-    :ivar loses_answer: runs the call and breaks the connection
+class ServerBehaviour:
+    """How a server responds.
+
+    :ivar status: HTTP status of its responses
+    :ivar response_delay_s: time to a response, or to a stream's first event, seconds
+    :ivar event_interval_s: time between two events of a stream, seconds
+    :ivar event_count: number of events of a stream
+    :ivar cut_after: number of events after which the connection breaks; None for never
+    :ivar stall_after: number of events after which the stream stalls; None for never
+    :ivar is_refusing: whether it responds that it has not run the call
+    :ivar is_answer_lost: whether it runs the call and then breaks the connection
     """
 
     status: int = 200
-    work_s: float = 0.03
-    gap_s: float = 0.05
-    events: int = 10
+    response_delay_s: float = 0.03
+    event_interval_s: float = 0.05
+    event_count: int = 10
     cut_after: int | None = None
-    silent_after: int | None = None
-    refuses: bool = False
-    loses_answer: bool = False
+    stall_after: int | None = None
+    is_refusing: bool = False
+    is_answer_lost: bool = False
 
 
 @attrs.define(eq=False)
-class MemoryDesk(calls.ServerClient):
-    """Servers by name; tells which calls each one ran."""
+class MemoryServerClient(calls.ServerClient):
+    """Client of in-memory servers that records the calls they receive and run.
 
-    behaviours: dict[str, Behaviour] = attrs.field(
-        factory=lambda: collections.defaultdict(Behaviour)
+    :ivar behaviours: behaviour by server name
+    :ivar executed_calls: calls run as (server name, call id)
+    :ivar received_calls: calls received as (time on trio's clock, server name, call)
+    :ivar active_calls: number of calls in progress by server name
+    """
+
+    behaviours: dict[str, ServerBehaviour] = attrs.field(
+        factory=lambda: collections.defaultdict(ServerBehaviour)
     )
-    runs: list[tuple[str, str]] = attrs.field(factory=list)
-    arrivals: list[tuple[float, str, calls.Forwarded]] = attrs.field(factory=list)
-    working: collections.Counter[str] = attrs.field(factory=collections.Counter)
+    executed_calls: list[tuple[str, str]] = attrs.field(factory=list)
+    received_calls: list[tuple[float, str, calls.Forwarded]] = attrs.field(factory=list)
+    active_calls: collections.Counter[str] = attrs.field(factory=collections.Counter)
 
     @contextlib.asynccontextmanager
     async def exchange(
@@ -147,51 +162,54 @@
         """See :class:`calls.ServerClient`."""
         name = server.server_id
         behaviour = self.behaviours[name]
-        self.arrivals.append((trio.current_time(), name, forwarded))
-        self.working[name] += 1
+        self.received_calls.append((trio.current_time(), name, forwarded))
+        self.active_calls[name] += 1
         try:
-            if behaviour.refuses:
+            if behaviour.is_refusing:
                 await trio.sleep(0.001)
-                raise calls.NotRunError(f"{name} is full")
-            await trio.sleep(behaviour.work_s)
-            self.runs.append((name, forwarded.call.call_id))
-            if behaviour.loses_answer:
+                raise calls.NotRunError(f"{name}: no free slot; the call was not run")
+            await trio.sleep(behaviour.response_delay_s)
+            self.executed_calls.append((name, forwarded.call.call_id))
+            if behaviour.is_answer_lost:
                 raise calls.AnswerLostError(f"{name}: connection lost", was_cut=True)
-            chunks = self._events(behaviour, forwarded)
+            chunks = self._stream_events(behaviour, forwarded)
             if not forwarded.is_stream or behaviour.status != 200:
-                chunks = self._whole()
+                chunks = self._single_chunk()
             yield calls.Response(behaviour.status, (), chunks)
         finally:
-            self.working[name] -= 1
+            self.active_calls[name] -= 1
 
-    async def _whole(self) -> collections.abc.AsyncIterator[bytes]:
+    async def _single_chunk(self) -> collections.abc.AsyncIterator[bytes]:
         yield b"answer"
 
-    async def _events(
-        self, behaviour: Behaviour, forwarded: calls.Forwarded
+    async def _stream_events(
+        self, behaviour: ServerBehaviour, forwarded: calls.Forwarded
     ) -> collections.abc.AsyncIterator[bytes]:
         sent = 0
-        for number in range((forwarded.last_event_id or 0) + 1, behaviour.events + 1):
+        for number in range((forwarded.last_event_id or 0) + 1, behaviour.event_count + 1):
             if sent == behaviour.cut_after:
                 yield b"id: 99"
                 raise calls.AnswerLostError("connection lost", was_cut=True)
-            if sent == behaviour.silent_after:
+            if sent == behaviour.stall_after:
                 await trio.sleep_forever()
             if sent:
-                await trio.sleep(behaviour.gap_s)
+                await trio.sleep(behaviour.event_interval_s)
             yield f"id: {number}\ndata: token {number}\n\n".encode()
             sent += 1
 
 
 @attrs.define(eq=False)
 class FixedRegistry:
-    """Servers of a service, as many as a test wants."""
+    """A registry with a given set of servers.
+
+    :ivar servers: servers by name
+    """
 
     servers: dict[str, servers.Server]
 
     @property
     def version(self) -> tuple[servers.Server, ...]:
-        """What differs after each change."""
+        """Value that differs after each change of the servers."""
         return tuple(self.servers.values())
 
     def of_service(self, service: str) -> list[servers.Server]:
@@ -200,15 +218,18 @@
 
 
 @attrs.define(eq=False)
-class EmptyBoard:
-    """No groups: the services are plain ones."""
+class EmptyGroupTable:
+    """A table without groups, for plain services only."""
 
     groups: dict = attrs.field(factory=dict)
     version: int = 0
 
 
 def new_servers(count: int, service: str = "desk", slots: int = 6) -> dict[str, servers.Server]:
-    """Return servers of one service in one availability zone."""
+    """Return servers of one service in one availability zone, by name.
+
+    :param slots: number of slots of each server
+    """
     names = [f"b{number}" for number in range(count)]
     return {
         name: servers.Server(name, 1, service, f"{name}:80", "zone-a", slots=slots)
@@ -217,39 +238,53 @@
 
 
 def new_entry(name: str, zone: str = "zone-a", cores: float = 1.0) -> entries.Entry:
-    """Return an entry without addresses."""
+    """Return an entry without addresses.
+
+    :param cores: processor cores of the entry
+    """
     return entries.Entry(name, zone, "r", "", "", "b1", cores)
 
 
 @attrs.define(eq=False)
-class FixedList:
-    """Entries that are always there."""
+class FixedEntryList:
+    """An entry list that does not change unless a test changes it.
+
+    :ivar own: this process's entry
+    :ivar other_entries: all other entries
+    """
 
     own: entries.Entry
-    known: list[entries.Entry] = attrs.field(factory=list)
+    other_entries: list[entries.Entry] = attrs.field(factory=list)
     version: int = 0
 
     def others(self) -> list[entries.Entry]:
         """See :class:`entries.EntryList`."""
-        return list(self.known)
+        return list(self.other_entries)
 
     def find(self, name: str, boot: str) -> entries.Entry | None:
         """See :class:`entries.EntryList`."""
-        found = (each for each in self.known if (each.entry, each.boot) == (name, boot))
-        return next(found, None)
+        matching_entries = (
+            entry for entry in self.other_entries if (entry.entry, entry.boot) == (name, boot)
+        )
+        return next(matching_entries, None)
 
 
 @attrs.define(eq=False, slots=False)
-class GatewayScene:
-    """A gateway before servers in memory."""
+class GatewayFixture:
+    """A gateway with in-memory servers.
+
+    :ivar registered_servers: registered servers by name
+    :ivar retry_slack: number of retries permitted in excess of the retry ratio
+    :ivar silent_servers: servers reported as silent, in order of the reports
+    """
 
-    registered: dict[str, servers.Server] = attrs.field(factory=lambda: new_servers(3))
-    desk: MemoryDesk = attrs.field(factory=MemoryDesk)
+    registered_servers: dict[str, servers.Server] = attrs.field(factory=lambda: new_servers(3))
+    server_client: MemoryServerClient = attrs.field(factory=MemoryServerClient)
     retry_slack: float = 100.0
-    silent: list[str] = attrs.field(factory=list)
+    silent_servers: list[str] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
-        """Build the parts."""
+        """Build the gateway and its dependencies."""
         rng = random.Random(1)
         self.routes = table.RouteTableHolder()
         self.routes.put(self.new_table(1, LOOKUPS, ORDERS, STREAMS))
@@ -257,29 +292,32 @@
         self.loads = load.LoadBoard()
         self.health = health.Health()
         self.crashes = crashes.CrashMemory()
-        found = targets.Targets(
-            FixedRegistry(self.registered),
-            EmptyBoard(),
+        server_targets = targets.Targets(
+            FixedRegistry(self.registered_servers),
+            EmptyGroupTable(),
             self.loads,
             self.health,
-            budget.ColdBudget(1.5, 5, FixedList(new_entry("e1"))),
+            budget.ColdBudget(1.5, 5, FixedEntryList(new_entry("e1"))),
             self.closed_zones,
             "zone-a",
             rng,
         )
         self.gateway = gateway.Gateway(
             self.routes,
-            self.desk,
-            admission.Admission(found),
+            self.server_client,
+            admission.Admission(server_targets),
             budget.RetryBudget(budget.RetryBound(0.2, self.retry_slack, 10.0), lambda: 1),
             self.health,
             self.crashes,
-            silence.SilenceWatch(self.health, self.silent.append),
+            silence.SilenceWatch(self.health, self.silent_servers.append),
             rng,
         )
 
     def new_table(self, version: int, *routes: table.Route, keys=None) -> table.RouteTable:
-        """Return a configuration of plain services."""
+        """Return a route table with one plain service.
+
+        :param keys: workspaces by API key; None if API keys are not required
+        """
         prefixes = {route.prefix: route for route in routes}
         services = {"desk": table.Service("desk", 10.0)}
         limits = table.Limits(16_384, 1000, 15.0)
@@ -289,16 +327,16 @@
 
     @contextlib.asynccontextmanager
     async def running(self) -> collections.abc.AsyncIterator[trio.Nursery]:
-        """Run what the gateway needs beside requests."""
+        """Run the gateway's background tasks."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.gateway.admission.run)
             nursery.start_soon(self.gateway.silence.run)
             yield nursery
             nursery.cancel_scope.cancel()
 
-    async def ask(self, call: calls.Call) -> tuple[MemoryReply, Exception | None]:
-        """Serve a call; return what the caller got, and how it ended otherwise."""
-        reply = MemoryReply()
+    async def send(self, call: calls.Call) -> tuple[RecordedReply, Exception | None]:
+        """Send a call; return what the caller received, and the error that ended it, if any."""
+        reply = RecordedReply()
         try:
             await self.gateway.serve(call, reply)
         except (calls.CallError, calls.AnswerLostError) as error:
--- a/tests/platform/test_platform_calls.py
+++ b/tests/platform/test_platform_calls.py
@@ -33,7 +33,7 @@
             server_app = standins.WorkerApp()
             async with standins.served(server_app) as address:
                 server = attrs.evolve(gateways.new_servers(1)["b0"], address=address)
-                scene = gateways.GatewayScene({"b0": server})
+                scene = gateways.GatewayFixture({"b0": server})
                 scene.gateway.servers = servers.PlatformServerClient()
                 app = front.FrontApp(scene.gateway, metrics.Metrics("e"), lambda: False)
                 async with scene.running(), standins.served(app) as entry:
@@ -165,7 +165,7 @@
     @with_server_and_entry
     async def test_orders_carry_the_expected_order_count(self, scene, server_app, entry):
         client = servers.PlatformServerClient()
-        server = scene.registered["b0"]
+        server = scene.registered_servers["b0"]
         join = orders.Join("g1", 5, "m0", ("b0", "b1"))
         self.assertIs(orders.OrderOutcome.BEGUN, await client.send(server, join, 0, 9))
         self.assertIs(orders.OrderOutcome.REFUSED, await client.send(server, join, 0, 9))
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -27,7 +27,7 @@
     def __attrs_post_init__(self):
         address = standins.free_address()
         own = entries.Entry(self.name, self.zone, "r", address, address, "b1", self.cores)
-        self.listed = gateways.FixedList(own)
+        self.listed = gateways.FixedEntryList(own)
         self.loads = load.LoadBoard()
         self.health = health.Health()
         self.crashes = crashes.CrashMemory()
@@ -55,7 +55,7 @@
         for n in range(entries_a_zone)
     ]
     for side in sides:
-        side.listed.known += [each.listed.own for each in sides if each is not side]
+        side.listed.other_entries += [each.listed.own for each in sides if each is not side]
     return sides
 
 
@@ -193,7 +193,7 @@
                 for n in range(size)
             ]
             side = Side("own", "a", 0.1)
-            side.listed.known = known
+            side.listed.other_entries = known
             chosen[size] = len(side.exchange.upstream())
         self.assertEqual({3: 2, 39: 2}, chosen)
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -14,7 +14,7 @@
 class RouteTest(unittest.TestCase):
     @clocked.on_test_clock
     async def test_longest_prefix_wins(self):
-        scene = gateways.GatewayScene()
+        scene = gateways.GatewayFixture()
         narrow = attrs.evolve(gateways.LOOKUPS, name="narrow", prefix="/lookups/old/")
         routes = scene.new_table(1, gateways.LOOKUPS, narrow)
         self.assertEqual("narrow", routes.find(gateways.HOST, "/lookups/old/1").name)
@@ -24,30 +24,30 @@
 
     @clocked.on_test_clock
     async def test_older_version_never_replaces_a_newer_one(self):
-        scene = gateways.GatewayScene()
+        scene = gateways.GatewayFixture()
         self.assertTrue(scene.routes.put(scene.new_table(7, gateways.LOOKUPS)))
         self.assertFalse(scene.routes.put(scene.new_table(6, gateways.ORDERS)))
         self.assertEqual(7, scene.routes.table.version)
 
     @clocked.on_test_clock
     async def test_key_that_was_taken_away_is_refused_at_once(self):
-        scene = gateways.GatewayScene()
+        scene = gateways.GatewayFixture()
         private = attrs.evolve(gateways.LOOKUPS, is_public=False)
         keys = {"k1": table.Workspace("council", None)}
         scene.routes.put(scene.new_table(2, private, keys=keys))
         async with scene.running():
-            reply, error = await scene.ask(gateways.new_call("/lookups/1", key="k1"))
+            reply, error = await scene.send(gateways.new_call("/lookups/1", key="k1"))
             self.assertEqual((200, None), (reply.status, error))
-            self.assertEqual("council", scene.desk.arrivals[0][2].workspace)
+            self.assertEqual("council", scene.server_client.received_calls[0][2].workspace)
             scene.routes.put(scene.new_table(3, private, keys={}))
-            _, error = await scene.ask(gateways.new_call("/lookups/1", key="k1"))
+            _, error = await scene.send(gateways.new_call("/lookups/1", key="k1"))
             self.assertIs(calls.RefusalReason.UNKNOWN_KEY, error.reason)
 
     @clocked.on_test_clock
     async def test_without_a_configuration_callers_are_told_to_come_back(self):
-        scene = gateways.GatewayScene()
+        scene = gateways.GatewayFixture()
         scene.routes.table = None
-        _, error = await scene.ask(gateways.new_call("/lookups/1"))
+        _, error = await scene.send(gateways.new_call("/lookups/1"))
         self.assertIs(calls.RefusalReason.NO_ROUTES_YET, error.reason)
         self.assertGreater(error.retry_after_s, 0)
 
@@ -56,33 +56,33 @@
     @clocked.on_test_clock
     async def test_order_with_a_lost_answer_is_not_sent_again(self):
         """Guards against an order that runs twice, or is said not to have run."""
-        scene = gateways.GatewayScene()
-        for name in scene.registered:
-            scene.desk.behaviours[name].loses_answer = True
+        scene = gateways.GatewayFixture()
+        for name in scene.registered_servers:
+            scene.server_client.behaviours[name].is_answer_lost = True
         async with scene.running():
-            _, error = await scene.ask(gateways.new_call("/orders/1"))
-        self.assertEqual(1, len(scene.desk.runs))
+            _, error = await scene.send(gateways.new_call("/orders/1"))
+        self.assertEqual(1, len(scene.server_client.executed_calls))
         self.assertTrue(error.has_run)
 
     @clocked.on_test_clock
     async def test_order_that_a_server_has_not_run_goes_to_another(self):
-        scene = gateways.GatewayScene()
-        scene.desk.behaviours["b0"].refuses = True
-        scene.desk.behaviours["b1"].refuses = True
+        scene = gateways.GatewayFixture()
+        scene.server_client.behaviours["b0"].is_refusing = True
+        scene.server_client.behaviours["b1"].is_refusing = True
         async with scene.running():
-            reply, error = await scene.ask(gateways.new_call("/orders/1"))
+            reply, error = await scene.send(gateways.new_call("/orders/1"))
         self.assertEqual((200, None), (reply.status, error))
-        self.assertEqual([("b2", "call-1")], scene.desk.runs)
+        self.assertEqual([("b2", "call-1")], scene.server_client.executed_calls)
 
     @clocked.on_test_clock
     async def test_order_that_waits_past_its_time_is_not_said_not_to_have_run(self):
         """Guards against an untrue refusal at the route's timeout."""
-        scene = gateways.GatewayScene()
-        for name in scene.registered:
-            scene.desk.behaviours[name].work_s = 10.0
+        scene = gateways.GatewayFixture()
+        for name in scene.registered_servers:
+            scene.server_client.behaviours[name].response_delay_s = 10.0
         async with scene.running():
             began_s = trio.current_time()
-            _, error = await scene.ask(gateways.new_call("/orders/1"))
+            _, error = await scene.send(gateways.new_call("/orders/1"))
             self.assertAlmostEqual(1.2, trio.current_time() - began_s, delta=0.01)
         self.assertTrue(error.has_run)
         self.assertIs(calls.RefusalReason.TOO_LATE, error.reason)
@@ -91,65 +91,65 @@
 class LookupTest(unittest.TestCase):
     @clocked.on_test_clock
     async def test_lookup_with_a_lost_answer_is_sent_to_another_server(self):
-        scene = gateways.GatewayScene(gateways.new_servers(2))
-        scene.desk.behaviours["b0"].loses_answer = True
+        scene = gateways.GatewayFixture(gateways.new_servers(2))
+        scene.server_client.behaviours["b0"].is_answer_lost = True
         scene.loads.add("b1")
         async with scene.running():
-            reply, error = await scene.ask(gateways.new_call("/lookups/1"))
+            reply, error = await scene.send(gateways.new_call("/lookups/1"))
         self.assertEqual((200, None), (reply.status, error))
 
     @clocked.on_test_clock
     async def test_lookup_that_its_server_fails_is_sent_to_another(self):
         """Guards against a failure passed on while another server could answer."""
-        scene = gateways.GatewayScene(gateways.new_servers(2))
-        scene.desk.behaviours["b0"].status = 500
+        scene = gateways.GatewayFixture(gateways.new_servers(2))
+        scene.server_client.behaviours["b0"].status = 500
         scene.loads.add("b1")
         async with scene.running():
-            reply, error = await scene.ask(gateways.new_call("/lookups/1"))
+            reply, error = await scene.send(gateways.new_call("/lookups/1"))
         self.assertEqual((200, None), (reply.status, error))
-        self.assertEqual(["b0", "b1"], [name for name, _ in scene.desk.runs])
+        self.assertEqual(["b0", "b1"], [name for name, _ in scene.server_client.executed_calls])
 
     @clocked.on_test_clock
     async def test_failure_of_the_last_server_reaches_the_caller(self):
-        scene = gateways.GatewayScene()
-        for name in scene.registered:
-            scene.desk.behaviours[name].status = 500
+        scene = gateways.GatewayFixture()
+        for name in scene.registered_servers:
+            scene.server_client.behaviours[name].status = 500
         async with scene.running():
-            lookup, _ = await scene.ask(gateways.new_call("/lookups/1"))
-            self.assertEqual(2, len(scene.desk.runs))
-            order, _ = await scene.ask(gateways.new_call("/orders/1"))
+            lookup, _ = await scene.send(gateways.new_call("/lookups/1"))
+            self.assertEqual(2, len(scene.server_client.executed_calls))
+            order, _ = await scene.send(gateways.new_call("/orders/1"))
         self.assertEqual((500, 500), (lookup.status, order.status))
-        self.assertEqual(3, len(scene.desk.runs))
+        self.assertEqual(3, len(scene.server_client.executed_calls))
 
     @clocked.on_test_clock
     async def test_no_more_servers_run_it_than_its_route_allows(self):
-        scene = gateways.GatewayScene()
-        for name in scene.registered:
-            scene.desk.behaviours[name].loses_answer = True
+        scene = gateways.GatewayFixture()
+        for name in scene.registered_servers:
+            scene.server_client.behaviours[name].is_answer_lost = True
         async with scene.running():
-            _, error = await scene.ask(gateways.new_call("/lookups/1"))
-        self.assertEqual(2, len(scene.desk.runs))
+            _, error = await scene.send(gateways.new_call("/lookups/1"))
+        self.assertEqual(2, len(scene.server_client.executed_calls))
         self.assertTrue(error.has_run)
 
     @clocked.on_test_clock
     async def test_retries_stay_within_their_budget(self):
         """Guards against retries that double the load of a service that fails."""
-        scene = gateways.GatewayScene(retry_slack=10.0)
-        for name in scene.registered:
-            scene.desk.behaviours[name].loses_answer = True
+        scene = gateways.GatewayFixture(retry_slack=10.0)
+        for name in scene.registered_servers:
+            scene.server_client.behaviours[name].is_answer_lost = True
         async with scene.running():
             for number in range(50):
-                await scene.ask(gateways.new_call("/lookups/1", body=str(number).encode()))
-        self.assertLessEqual(len(scene.desk.runs), 50 + 0.7 * (0.2 * 50 + 10))
+                await scene.send(gateways.new_call("/lookups/1", body=str(number).encode()))
+        self.assertLessEqual(len(scene.server_client.executed_calls), 50 + 0.7 * (0.2 * 50 + 10))
 
     @clocked.on_test_clock
     async def test_failing_server_gets_less_work(self):
-        scene = gateways.GatewayScene()
-        scene.desk.behaviours["b0"].status = 500
+        scene = gateways.GatewayFixture()
+        scene.server_client.behaviours["b0"].status = 500
         async with scene.running():
             for number in range(30):
-                await scene.ask(gateways.new_call("/orders/1", body=str(number).encode()))
-        failed = sum(name == "b0" for name, _ in scene.desk.runs)
+                await scene.send(gateways.new_call("/orders/1", body=str(number).encode()))
+        failed = sum(name == "b0" for name, _ in scene.server_client.executed_calls)
         self.assertLess(failed, 6)
 
 
@@ -157,58 +157,58 @@
     @clocked.on_test_clock
     async def test_cut_stream_goes_on_at_another_server(self):
         """Guards against events missing or doubled where a stream moves within one."""
-        scene = gateways.GatewayScene()
-        for name in scene.registered:
-            scene.desk.behaviours[name].cut_after = 4
+        scene = gateways.GatewayFixture()
+        for name in scene.registered_servers:
+            scene.server_client.behaviours[name].cut_after = 4
         async with scene.running() as nursery:
             nursery.start_soon(self._mend, scene)
-            reply, error = await scene.ask(gateways.new_call("/streams/1"))
+            reply, error = await scene.send(gateways.new_call("/streams/1"))
         self.assertIsNone(error)
         self.assertEqual(list(range(1, 11)), reply.event_ids)
         self.assertTrue(reply.is_complete)
 
     async def _mend(self, scene):
         await trio.sleep(0.1)
-        for behaviour in scene.desk.behaviours.values():
+        for behaviour in scene.server_client.behaviours.values():
             behaviour.cut_after = None
 
     @clocked.on_test_clock
     async def test_silent_stream_goes_on_at_another_server_within_its_pause(self):
         """Guards against callers who wait at a head that sends nothing more."""
-        scene = gateways.GatewayScene()
+        scene = gateways.GatewayFixture()
         async with scene.running() as nursery:
             nursery.start_soon(self._silence_after, scene, 3)
-            reply, error = await scene.ask(gateways.new_call("/streams/1"))
+            reply, error = await scene.send(gateways.new_call("/streams/1"))
         self.assertIsNone(error)
         self.assertEqual(list(range(1, 11)), reply.event_ids)
-        pauses = [b - a for a, b in zip(reply.arrivals_s, reply.arrivals_s[1:], strict=False)]
+        pauses = [b - a for a, b in zip(reply.chunk_times_s, reply.chunk_times_s[1:], strict=False)]
         self.assertLess(max(pauses), 0.4)
-        self.assertEqual(1, len(scene.silent))
-        self.assertEqual(0, sum(scene.desk.working.values()))
+        self.assertEqual(1, len(scene.silent_servers))
+        self.assertEqual(0, sum(scene.server_client.active_calls.values()))
 
     async def _silence_after(self, scene, events):
         await trio.sleep(0.01)
-        (_, name, _), *_ = scene.desk.arrivals
-        scene.desk.behaviours[name].silent_after = events
+        (_, name, _), *_ = scene.server_client.received_calls
+        scene.server_client.behaviours[name].stall_after = events
 
     @clocked.on_test_clock
     async def test_stream_that_cannot_go_on_does_not_look_complete(self):
-        scene = gateways.GatewayScene()
-        for name in scene.registered:
-            scene.desk.behaviours[name].cut_after = 2
+        scene = gateways.GatewayFixture()
+        for name in scene.registered_servers:
+            scene.server_client.behaviours[name].cut_after = 2
         async with scene.running():
-            reply, error = await scene.ask(gateways.new_call("/streams/1"))
+            reply, error = await scene.send(gateways.new_call("/streams/1"))
         self.assertIsInstance(error, calls.AnswerLostError)
         self.assertFalse(reply.is_complete)
         self.assertEqual([1, 2, 3, 4], reply.event_ids)
 
     @clocked.on_test_clock
     async def test_caller_who_leaves_frees_the_server_at_once(self):
-        scene = gateways.GatewayScene()
+        scene = gateways.GatewayFixture()
         async with scene.running():
             with trio.move_on_after(0.2):
-                await scene.ask(gateways.new_call("/streams/1"))
-            self.assertEqual(0, sum(scene.desk.working.values()))
+                await scene.send(gateways.new_call("/streams/1"))
+            self.assertEqual(0, sum(scene.server_client.active_calls.values()))
             self.assertEqual(0, sum(scene.loads.own.values()))
             self.assertEqual(0, scene.gateway.in_flight)
 
@@ -217,13 +217,13 @@
     @clocked.on_test_clock
     async def test_request_that_crashes_servers_is_refused_after_three(self):
         """Guards against one request that takes server after server from others."""
-        scene = gateways.GatewayScene()
-        for name in scene.registered:
-            scene.desk.behaviours[name].loses_answer = True
+        scene = gateways.GatewayFixture()
+        for name in scene.registered_servers:
+            scene.server_client.behaviours[name].is_answer_lost = True
         async with scene.running():
             for _ in range(4):
-                _, error = await scene.ask(gateways.new_call("/lookups/1", body=b"poison"))
-        self.assertEqual(3, len(scene.desk.runs))
+                _, error = await scene.send(gateways.new_call("/lookups/1", body=b"poison"))
+        self.assertEqual(3, len(scene.server_client.executed_calls))
         self.assertIs(calls.RefusalReason.CRASHES_SERVERS, error.reason)
         self.assertFalse(error.has_run)
 
@@ -231,26 +231,26 @@
 class AdmissionTest(unittest.TestCase):
     @clocked.on_test_clock
     async def test_urgent_requests_go_first_when_there_is_room_again(self):
-        scene = gateways.GatewayScene(gateways.new_servers(1, slots=1))
-        scene.desk.behaviours["b0"].events = 2
+        scene = gateways.GatewayFixture(gateways.new_servers(1, slots=1))
+        scene.server_client.behaviours["b0"].event_count = 2
         async with scene.running() as nursery:
             for name in ("lookups/first", "lookups/ordinary", "streams/urgent"):
-                nursery.start_soon(scene.ask, gateways.new_call(f"/{name}"))
+                nursery.start_soon(scene.send, gateways.new_call(f"/{name}"))
                 await trio.sleep(0.005)
             await trio.sleep(1)
-        sent = [forwarded.call.path for _, _, forwarded in scene.desk.arrivals]
+        sent = [forwarded.call.path for _, _, forwarded in scene.server_client.received_calls]
         self.assertEqual(["/lookups/first", "/streams/urgent", "/lookups/ordinary"], sent)
 
     @clocked.on_test_clock
     async def test_under_overload_answers_come_in_time_or_not_at_all(self):
         """Guards against a queue by arrival that makes every answer late."""
-        scene = gateways.GatewayScene(gateways.new_servers(1, slots=1))
+        scene = gateways.GatewayFixture(gateways.new_servers(1, slots=1))
         took_s = []
 
         async def ask(number):
             began_s = trio.current_time()
-            call = gateways.new_call("/lookups/1", wait_s=1.2, call_id=str(number))
-            reply, _ = await scene.ask(call)
+            call = gateways.new_call("/lookups/1", timeout_s=1.2, call_id=str(number))
+            reply, _ = await scene.send(call)
             if reply.is_complete:
                 took_s.append(trio.current_time() - began_s)
 
@@ -266,7 +266,7 @@
     @clocked.on_test_clock
     async def test_dead_server_is_tried_ever_less_often(self):
         """Guards against a registered dead head that uses up the budget of retries."""
-        scene = gateways.GatewayScene()
+        scene = gateways.GatewayFixture()
         tries = []
         for number in range(300):
             if not scene.health.is_avoided("b0"):
@@ -282,13 +282,13 @@
 
     @clocked.on_test_clock
     async def test_closed_zone_gets_nothing_and_callers_hear_so_in_time(self):
-        scene = gateways.GatewayScene()
+        scene = gateways.GatewayFixture()
         scene.closed_zones.add("zone-a")
         async with scene.running():
             began_s = trio.current_time()
-            _, error = await scene.ask(gateways.new_call("/lookups/1"))
+            _, error = await scene.send(gateways.new_call("/lookups/1"))
             self.assertLess(trio.current_time() - began_s, 0.5)
-        self.assertEqual([], scene.desk.arrivals)
+        self.assertEqual([], scene.server_client.received_calls)
         self.assertFalse(error.has_run)
         self.assertGreater(error.retry_after_s, 0)
 
@@ -296,11 +296,11 @@
     async def test_cold_server_gets_no_more_than_it_bears(self):
         """Guards against a server that falls over under twenty callers right after its start."""
         cold = attrs.evolve(gateways.new_servers(1, slots=100)["b0"], cold_until_s=1e9)
-        scene = gateways.GatewayScene({"b0": cold})
+        scene = gateways.GatewayFixture({"b0": cold})
         async with scene.running() as nursery:
             for number in range(40):
                 call = gateways.new_call("/lookups/1", call_id=str(number))
-                nursery.start_soon(scene.ask, call)
+                nursery.start_soon(scene.send, call)
             await trio.sleep(0.9)
-            self.assertLessEqual(len(scene.desk.arrivals), 20)
-            self.assertGreater(len(scene.desk.arrivals), 5)
+            self.assertLessEqual(len(scene.server_client.received_calls), 20)
+            self.assertGreater(len(scene.server_client.received_calls), 5)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -90,7 +90,7 @@
         """Return how many requests each entry may send within a second."""
         counts = []
         for own in known:
-            listed = gateways.FixedList(own, [each for each in known if each is not own])
+            listed = gateways.FixedEntryList(own, [each for each in known if each is not own])
             cold = budget.ColdBudget(1.5, 5, listed)
             sent = 0
             while cold.may_send(server, 17.0):
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -37,7 +37,7 @@
         )
         self.board = records.GroupTable(self.copy)
         self.closed = set()
-        cold = budget.ColdBudget(1.5, 5, gateways.FixedList(gateways.new_entry("e1")))
+        cold = budget.ColdBudget(1.5, 5, gateways.FixedEntryList(gateways.new_entry("e1")))
         self.targets = targets.Targets(
             known,
             self.board,
