--- a/standins/backends.py
+++ b/standins/backends.py
@@ -1,4 +1,7 @@
-"""Backend servers in memory, on trio's clock: they lag, restart, fall over and are counted."""
+"""In-memory backend servers with delayed reports, restarts, crashes and load counters.
+
+For tests on trio's mock clock.
+"""
 
 from __future__ import annotations
 
@@ -12,19 +15,19 @@
 
 from toucanhold.backends import client
 
-NETWORK_S = 0.0015
-CRASH_S = 0.03
+NETWORK_DELAY_S = 0.0015
+CRASH_DELAY_S = 0.03
 
 
 @attrs.define
 class StreamFaults:
-    """Faults of the coming streams; each strikes once.
+    """Faults injected into one stream.
 
-    :ivar cut_after: events after which the connection breaks
-    :ivar stall_after: events after which nothing comes any more
-    :ivar skip_at: number of an event that is left out
-    :ivar end_after: events after which the stream ends cleanly, but without its end marker
-    :ivar status: HTTP status of a refusal, with ``error_type``
+    :ivar cut_after: number of events after which the connection breaks
+    :ivar stall_after: number of events after which the stream stalls
+    :ivar skip_at: id of an event that is left out
+    :ivar end_after: number of events after which the stream ends without its end marker
+    :ivar status: HTTP status of the response; other than 200 with an error of ``error_type``
     """
 
     cut_after: int | None = None
@@ -37,64 +40,75 @@
 
 @attrs.define(eq=False)
 class Server:
-    """One plain server or rank 0 of a model's group.
-
-    :ivar bearable: requests it bears at once while cold
-    :ivar report_lag_s: age of the load that its reports tell
-    :ivar unnoticed_s: time until it notices that a client has left
-    :ivar max_running_cold: most requests that ran at once while it was cold
-    :ivar crashes: tells whether a request makes it restart
+    """One plain server, or rank 0 of a model's group.
+
+    :ivar bearable: number of concurrent requests that it reports to sustain while cold
+    :ivar slots: number of requests that run concurrently
+    :ivar first_token_s: time to the first token, seconds
+    :ivar token_s: time to each further token, seconds
+    :ivar report_lag_s: age of the load in its reports, seconds
+    :ivar disconnect_detection_s: time until it notices that a client has disconnected, seconds
+    :ivar warm_after_requests: number of completed requests after which it is warm; 0 for never
+    :ivar report_template: load report whose other fields are taken over
+    :ivar faults: faults of the next streams, one for each
+    :ivar is_crash_trigger: returns whether a request crashes the server
+    :ivar max_running: highest number of concurrent requests
+    :ivar max_running_cold: highest number of concurrent requests while cold
+    :ivar completed_requests: number of requests completed since the last restart
+    :ivar request_scopes: cancel scopes of the requests in progress
     """
 
     vm: str
     bearable: int = 1
     slots: int = 8
-    warm: bool = False
+    is_warm: bool = False
     first_token_s: float = 0.05
     token_s: float = 0.01
     report_lag_s: float = 0.0
-    unnoticed_s: float = 0.0
+    disconnect_detection_s: float = 0.0
     warm_after_requests: int = 0
     adapters: tuple[str, ...] = ()
-    template: client.Report | None = None
+    report_template: client.Report | None = None
     faults: list[StreamFaults] = attrs.field(factory=list)
-    crashes: collections.abc.Callable[[client.ForwardedRequest], bool] = lambda request: False
+    is_crash_trigger: collections.abc.Callable[[client.ForwardedRequest], bool] = (
+        lambda request: False
+    )
     restarts: int = attrs.field(default=0, init=False)
     running: int = attrs.field(default=0, init=False)
     waiting: int = attrs.field(default=0, init=False)
-    completed: int = attrs.field(default=0, init=False)
+    completed_requests: int = attrs.field(default=0, init=False)
     max_running_cold: int = attrs.field(default=0, init=False)
     max_running: int = attrs.field(default=0, init=False)
-    started: int = attrs.field(default=0, init=False)
+    started_requests: int = attrs.field(default=0, init=False)
     is_up: bool = attrs.field(default=True, init=False)
     boot_id: str = attrs.field(default="", init=False)
-    scopes: set[trio.CancelScope] = attrs.field(factory=set, init=False)
+    request_scopes: set[trio.CancelScope] = attrs.field(factory=set, init=False)
     _boots: itertools.count = attrs.field(factory=itertools.count, init=False)
-    _places: trio.CapacityLimiter = attrs.field(default=None, init=False)
-    _load: list[tuple[float, int, int]] = attrs.field(factory=list, init=False)
+    _slot_limiter: trio.CapacityLimiter = attrs.field(default=None, init=False)
+    _load_history: list[tuple[float, int, int]] = attrs.field(factory=list, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Boot for the first time."""
+        """Set the first boot id."""
         self.boot_id = f"{self.vm}-boot-{next(self._boots)}"
-        self._places = trio.CapacityLimiter(self.slots)
+        self._slot_limiter = trio.CapacityLimiter(self.slots)
 
     def restart(self) -> None:
-        """Cut all requests and be cold, at once and without warning."""
+        """Restart at once: break all requests and become cold."""
         self.restarts += 1
         self.boot_id = f"{self.vm}-boot-{next(self._boots)}"
-        self.warm, self.completed = False, 0
-        for scope in self.scopes:
+        self.is_warm, self.completed_requests = False, 0
+        for scope in self.request_scopes:
             scope.cancel()
 
     def report(self) -> client.Report:
-        """Return a load report whose numbers lag behind."""
-        running, waiting = self._lagging_load()
-        template = self.template or client.Report(self.vm, "")
+        """Return a load report with the load of ``report_lag_s`` ago."""
+        running, waiting = self._delayed_load()
+        report_template = self.report_template or client.Report(self.vm, "")
         return attrs.evolve(
-            template,
+            report_template,
             vm=self.vm,
             boot_id=self.boot_id,
-            warmth=client.Warmth.WARM if self.warm else client.Warmth.COLD,
+            warmth=client.Warmth.WARM if self.is_warm else client.Warmth.COLD,
             bearable=self.bearable,
             running=running,
             waiting=waiting,
@@ -103,70 +117,72 @@
         )
 
     @contextlib.asynccontextmanager
-    async def running_one(self) -> collections.abc.AsyncIterator[None]:
-        """Hold a place of work."""
+    async def use_slot(self) -> collections.abc.AsyncIterator[None]:
+        """Wait for a slot and occupy it, counting the request."""
         self.waiting += 1
-        self._note_load()
+        self._record_load()
         try:
-            await self._places.acquire_on_behalf_of(token := object())
+            await self._slot_limiter.acquire_on_behalf_of(borrower := object())
         finally:
             self.waiting -= 1
         self.running += 1
-        self.started += 1
+        self.started_requests += 1
         self.max_running = max(self.max_running, self.running)
-        if not self.warm:
+        if not self.is_warm:
             self.max_running_cold = max(self.max_running_cold, self.running)
-        self._note_load()
+        self._record_load()
         try:
             yield
-            self.completed += 1
-            if self.warm_after_requests and self.completed >= self.warm_after_requests:
-                self.warm = True
+            self.completed_requests += 1
+            if self.warm_after_requests and self.completed_requests >= self.warm_after_requests:
+                self.is_warm = True
         finally:
             self.running -= 1
-            self._places.release_on_behalf_of(token)
-            self._note_load()
+            self._slot_limiter.release_on_behalf_of(borrower)
+            self._record_load()
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         if self.report_lag_s:
-            self._load.append((trio.current_time(), self.running, self.waiting))
+            self._load_history.append((trio.current_time(), self.running, self.waiting))
 
-    def _lagging_load(self) -> tuple[int, int]:
+    def _delayed_load(self) -> tuple[int, int]:
         if not self.report_lag_s:
             return self.running, self.waiting
-        then_s = trio.current_time() - self.report_lag_s
-        while len(self._load) > 1 and self._load[1][0] <= then_s:
-            del self._load[0]
-        if not self._load or self._load[0][0] > then_s:
+        reported_at_s = trio.current_time() - self.report_lag_s
+        while len(self._load_history) > 1 and self._load_history[1][0] <= reported_at_s:
+            del self._load_history[0]
+        if not self._load_history or self._load_history[0][0] > reported_at_s:
             return 0, 0
-        return self._load[0][1:]
+        return self._load_history[0][1:]
 
 
 @attrs.define(eq=False)
-class MemoryBackends(client.BackendClient):
-    """One entry's connections to servers in memory.
+class MemoryBackendClient(client.BackendClient):
+    """One entry's client of in-memory servers.
 
-    :ivar servers: by address
-    :ivar awake: an entry that is paused sends nothing until this is set again
+    :ivar servers: servers by address
+    :ivar nursery: runs the requests on the servers
+    :ivar token_count: returns the number of tokens that a server generates for a request
+    :ivar resume_event: while the entry is paused, calls wait for this event; None otherwise
     """
 
     servers: collections.abc.Mapping[str, Server]
     nursery: trio.Nursery
-    tokens: collections.abc.Callable[[client.ForwardedRequest], int] = lambda request: 8
-    awake: trio.Event | None = None
+    token_count: collections.abc.Callable[[client.ForwardedRequest], int] = lambda request: 8
+    resume_event: trio.Event | None = None
 
     async def close(self) -> None:
         """See :class:`client.BackendClient`."""
 
     async def read_report(self, address: str, timeout_s: float) -> client.Report:
         """See :class:`client.BackendClient`."""
-        await self._pause()
-        await trio.sleep(NETWORK_S)
+        await self._wait_while_paused()
+        await trio.sleep(NETWORK_DELAY_S)
         server = self.servers[address]
         if not server.is_up:
-            raise client.NotSentError("down")
+            raise client.NotSentError(f"{address}: the server is down")
         report = server.report()
-        await trio.sleep(NETWORK_S)
+        await trio.sleep(NETWORK_DELAY_S)
         return report
 
     async def send_order(self, address: str, order: client.Order, timeout_s: float) -> None:
@@ -178,43 +194,45 @@
     ) -> collections.abc.AsyncIterator[client.ForwardedResponse]:
         """See :class:`client.BackendClient`."""
         server = self.servers[address]
-        await self._pause()
+        await self._wait_while_paused()
         if not server.is_up or request.boot_id not in ("", server.boot_id):
-            raise client.NotSentError("down or booted again")
+            raise client.NotSentError(f"{address}: the server is down or has restarted")
         if request.guard is not None and not request.guard():
-            raise client.NotSentError("no longer allowed")
-        run = _Run(server, self.tokens(request), request)
-        self.nursery.start_soon(run.work)
+            raise client.NotSentError(f"{address}: the guard no longer permits the request")
+        run = _RequestRun(server, self.token_count(request), request)
+        self.nursery.start_soon(run.run)
         try:
             with trio.fail_after(request.timeout_s):
-                await run.began.wait()
-            if run.cut:
-                raise client.AnswerLostError("cut")
+                await run.response_started.wait()
+            if run.is_cut:
+                raise client.AnswerLostError(f"{address}: the connection was lost")
             yield client.ForwardedResponse(run.faults.status, run.headers(), run.chunks())
         except trio.TooSlowError as error:
-            raise client.AnswerLostError("no answer in time") from error
+            raise client.AnswerLostError(
+                f"{address}: no response within {request.timeout_s} s"
+            ) from error
         finally:
-            run.leave()
+            run.disconnect()
 
-    async def _pause(self) -> None:
-        if self.awake is not None:
-            await self.awake.wait()
+    async def _wait_while_paused(self) -> None:
+        if self.resume_event is not None:
+            await self.resume_event.wait()
 
 
-class _Run:
-    """One request on a server; it goes on for a while after its client has left."""
+class _RequestRun:
+    """One request on a server; it continues until the server notices a disconnected client."""
 
-    def __init__(self, server: Server, tokens: int, request: client.ForwardedRequest) -> None:
+    def __init__(self, server: Server, token_count: int, request: client.ForwardedRequest) -> None:
         self.server = server
-        self.tokens = tokens
+        self.token_count = token_count
         self.request = request
-        self.began = trio.Event()
+        self.response_started = trio.Event()
         self.faults = server.faults.pop(0) if server.faults else StreamFaults()
-        resumed = dict(request.headers).get(b"last-event-id")
-        self.first = int(resumed) + 1 if resumed else 0
-        self.cut = self.left = False
+        last_event_id = dict(request.headers).get(b"last-event-id")
+        self.first_index = int(last_event_id) + 1 if last_event_id else 0
+        self.is_cut = self.has_client_left = False
         self._scope = trio.CancelScope()
-        self._send, self._receive = trio.open_memory_channel[bytes](tokens + 3)
+        self._send, self._receive = trio.open_memory_channel[bytes](token_count + 3)
 
     def headers(self) -> client.Headers:
         return (
@@ -222,36 +240,36 @@
             (b"x-request-id", self.request.request_id.encode()),
         )
 
-    def leave(self) -> None:
-        self.left = True
-        self._scope.deadline = trio.current_time() + self.server.unnoticed_s
+    def disconnect(self) -> None:
+        self.has_client_left = True
+        self._scope.deadline = trio.current_time() + self.server.disconnect_detection_s
 
-    async def work(self) -> None:
-        self.server.scopes.add(self._scope)
+    async def run(self) -> None:
+        self.server.request_scopes.add(self._scope)
         finished = False
         try:
             with self._scope, contextlib.suppress(ConnectionError):
-                await trio.sleep(NETWORK_S)
-                async with self.server.running_one():
-                    if self.server.crashes(self.request):
-                        await trio.sleep(CRASH_S)
+                await trio.sleep(NETWORK_DELAY_S)
+                async with self.server.use_slot():
+                    if self.server.is_crash_trigger(self.request):
+                        await trio.sleep(CRASH_DELAY_S)
                         self.server.restart()
-                    await self._emit_all()
+                    await self._send_events()
                     finished = True
         finally:
-            self.server.scopes.discard(self._scope)
-            self.cut = not finished
-            self.began.set()
+            self.server.request_scopes.discard(self._scope)
+            self.is_cut = not finished
+            self.response_started.set()
             self._send.close()
 
-    async def _emit_all(self) -> None:
+    async def _send_events(self) -> None:
         if self.faults.status != 200:
             body = json.dumps({"error": {"type": self.faults.error_type}})
             self._send.send_nowait(body.encode())
             return
-        for index in range(self.first, self.tokens):
-            first = index == self.first
-            await trio.sleep(self.server.first_token_s if first else self.server.token_s)
+        for index in range(self.first_index, self.token_count):
+            is_first = index == self.first_index
+            await trio.sleep(self.server.first_token_s if is_first else self.server.token_s)
             if index == self.faults.cut_after:
                 raise ConnectionError
             if index == self.faults.stall_after:
@@ -260,12 +278,12 @@
                 return
             if index != self.faults.skip_at:
                 self._send.send_nowait(b"id: %d\ndata: t%d\n\n" % (index, index))
-            self.began.set()
+            self.response_started.set()
         self._send.send_nowait(b'data: {"finish_reason": "stop"}\n\n')
         self._send.send_nowait(b"data: [DONE]\n\n")
 
     async def chunks(self) -> collections.abc.AsyncIterator[bytes]:
         async for chunk in self._receive:
             yield chunk
-        if self.cut:
-            raise client.AnswerLostError("cut")
+        if self.is_cut:
+            raise client.AnswerLostError("the connection was lost")
--- a/standins/routers.py
+++ b/standins/routers.py
@@ -1,4 +1,4 @@
-"""Several entries' real routing over backend servers in memory, on trio's test clock."""
+"""Real routing of several entries over in-memory backend servers, for tests on a mock clock."""
 
 from __future__ import annotations
 
@@ -21,86 +21,95 @@
 
 SERVICE = "lookups"
 REFUSED_PAUSE_S = 0.2
-Builder = collections.abc.Callable[[router.RouterDependencies], router.Router]
+RouterBuilder = collections.abc.Callable[[router.RouterDependencies], router.Router]
 
 
 @attrs.define(eq=False)
-class Entry:
-    """One entry's routing and what it rests on."""
+class RoutingEntry:
+    """The routing of one entry and its dependencies."""
 
     name: str
     router: router.Router
     view: view.View
-    backends: backends.MemoryBackends
-    _scopes: list[trio.CancelScope] = attrs.field(factory=list)
+    backends: backends.MemoryBackendClient
+    _cancel_scopes: list[trio.CancelScope] = attrs.field(factory=list)
 
     def new_scope(self) -> trio.CancelScope:
-        """Return a scope that ends with the entry."""
-        self._scopes.append(trio.CancelScope())
-        return self._scopes[-1]
+        """Return a cancel scope that is cancelled when the entry is killed."""
+        self._cancel_scopes.append(trio.CancelScope())
+        return self._cancel_scopes[-1]
 
-    def end(self) -> None:
-        """End everything at once, without a goodbye."""
-        for scope in self._scopes:
+    def kill(self) -> None:
+        """Cancel all of the entry's tasks at once, without a clean shutdown."""
+        for scope in self._cancel_scopes:
             scope.cancel()
 
     def pause(self) -> None:
-        """Send and hear nothing until :meth:`wake`."""
-        self.backends.awake = trio.Event()
+        """Pause the entry's connections to servers until :meth:`resume`."""
+        self.backends.resume_event = trio.Event()
 
-    def wake(self) -> None:
-        """Go on."""
-        awake, self.backends.awake = self.backends.awake, None
-        awake.set()
+    def resume(self) -> None:
+        """Resume after :meth:`pause`."""
+        resume_event, self.backends.resume_event = self.backends.resume_event, None
+        resume_event.set()
 
 
 @attrs.define(eq=False)
-class Fleet:
-    """Entries, servers of one plain service, and the key-value service."""
+class RoutingSite:
+    """Entries, servers of one service, and the key-value service.
+
+    :ivar build: makes an entry's router from its dependencies
+    :ivar seed: seed of the entries' random number generators
+    :ivar entries: running entries by name
+    :ivar outcomes: number of requests by outcome: ``whole`` for a complete response, ``left`` for
+        a caller that disconnected, else the slug of the problem
+    :ivar token_count: returns the number of tokens that a server generates for a request
+    :ivar has_groups: whether each server is rank 0 of a group, not a plain server
+    """
 
     nursery: trio.Nursery
     servers: list[backends.Server]
     rules: rules.Rules
-    build: Builder = router.build_default
+    build: RouterBuilder = router.build_default
     seed: int = 1
     platform: memory.MemoryPlatform = attrs.field(factory=memory.MemoryPlatform)
-    entries: dict[str, Entry] = attrs.field(factory=dict)
+    entries: dict[str, RoutingEntry] = attrs.field(factory=dict)
     outcomes: collections.Counter[str] = attrs.field(factory=collections.Counter)
-    tokens: collections.abc.Callable = lambda request: 8
-    as_groups: bool = False
+    token_count: collections.abc.Callable = lambda request: 8
+    has_groups: bool = False
     _numbers: itertools.count = attrs.field(factory=itertools.count, init=False)
 
-    def add_entry(self, name: str) -> Entry:
+    def add_entry(self, name: str) -> RoutingEntry:
         """Start an entry."""
         rng = random.Random(f"{self.seed}:{name}")
-        seen = view.View()
-        clients = backends.MemoryBackends(
-            {server.vm + ":1": server for server in self.servers}, self.nursery, self.tokens
+        observed_view = view.View()
+        backend_client = backends.MemoryBackendClient(
+            {server.vm + ":1": server for server in self.servers}, self.nursery, self.token_count
         )
         configuration = holder.ConfigurationHolder(self._configuration())
-        around = router.RouterDependencies(
+        dependencies = router.RouterDependencies(
             entry=name,
             availability_zone="zone-a",
             configuration=configuration,
             plans=self._plans(),
-            view=seen,
+            view=observed_view,
             platform=self.platform.client(name),
-            backends=clients,
+            backends=backend_client,
             entries=lambda: sorted(self.entries),
             rng=rng,
         )
-        entry = Entry(name, self.build(around), seen, clients)
+        entry = RoutingEntry(name, self.build(dependencies), observed_view, backend_client)
         self.entries[name] = entry
-        report_poller = poller.Poller(configuration, clients, seen, rng)
-        self.nursery.start_soon(self._run, entry, report_poller)
+        report_poller = poller.Poller(configuration, backend_client, observed_view, rng)
+        self.nursery.start_soon(self._run_entry, entry, report_poller)
         return entry
 
     def kill(self, name: str) -> None:
-        """End an entry at once; it says goodbye to nobody."""
-        self.entries.pop(name).end()
+        """Kill an entry without a clean shutdown."""
+        self.entries.pop(name).kill()
 
     def request(self, workspace: str = "w", timeout_s: float = 30, **fields):
-        """Return an idempotent streamed request."""
+        """Return an idempotent request for a stream."""
         return requests.CallerRequest(
             request_id=f"r{next(self._numbers)}",
             workspace=workspace,
@@ -115,10 +124,16 @@
             **fields,
         )
 
-    async def ask(self, entry: Entry, leave_after_s: float = 1e9, **fields) -> str:
-        """Send one request through an entry; return and count how it ended."""
+    async def send_request(
+        self, entry: RoutingEntry, disconnect_after_s: float = 1e9, **fields
+    ) -> str:
+        """Send one request through an entry; count and return its outcome.
+
+        :param disconnect_after_s: time after which the caller disconnects, seconds
+        :param fields: parameters of :meth:`request`
+        """
         outcome = "left"
-        with trio.move_on_after(leave_after_s):
+        with trio.move_on_after(disconnect_after_s):
             try:
                 async with entry.router.dispatcher.serve(self.request(**fields)) as answer:
                     async for _ in answer.chunks:
@@ -129,28 +144,31 @@
         self.outcomes[outcome] += 1
         return outcome
 
-    async def keep_asking(self, entry: Entry, pause_s: float = 0.01, **fields) -> None:
-        """Send one request after the other until cancelled or the entry dies."""
+    async def send_requests(self, entry: RoutingEntry, pause_s: float = 0.01, **fields) -> None:
+        """Send requests one after another until cancelled or until the entry is killed.
+
+        :param pause_s: time between two requests, seconds; longer after a refused one
+        """
         with entry.new_scope():
             while True:
-                outcome = await self.ask(entry, **fields)
-                refused = outcome not in ("whole", "left")
-                await trio.sleep(REFUSED_PAUSE_S if refused else pause_s)
+                outcome = await self.send_request(entry, **fields)
+                is_refused = outcome not in ("whole", "left")
+                await trio.sleep(REFUSED_PAUSE_S if is_refused else pause_s)
 
-    def flood(self, entry: Entry, callers: int, **fields) -> None:
-        """Let several callers keep asking one entry."""
+    def start_callers(self, entry: RoutingEntry, callers: int, **fields) -> None:
+        """Start callers that each send requests to an entry continuously."""
         for _ in range(callers):
-            self.nursery.start_soon(lambda: self.keep_asking(entry, **fields))
+            self.nursery.start_soon(lambda: self.send_requests(entry, **fields))
 
     def _plans(self) -> plan.PlanHolder:
-        """Return a plan in which each server is a group of its own, if they are groups."""
+        """Return a plan in which each server is its own group; an empty one without groups."""
         plans = plan.PlanHolder()
-        if self.as_groups:
+        if self.has_groups:
             groups = tuple(
                 plan.Group(f"g-{server.vm}", 1, SERVICE, (server.vm,)) for server in self.servers
             )
             for server, group in zip(self.servers, groups, strict=True):
-                server.template = client.Report(
+                server.report_template = client.Report(
                     server.vm, "", group=group.group, generation=1, model="", version=""
                 )
             plans.apply(plan.VersionedDomainPlan(plan.DomainPlan("d", groups=groups), 1))
@@ -162,8 +180,8 @@
                 server.vm,
                 server.vm + ":1",
                 "zone-a",
-                kind=inventory.VmKind.ENGINE if self.as_groups else inventory.VmKind.SERVICE,
-                service="" if self.as_groups else SERVICE,
+                kind=inventory.VmKind.ENGINE if self.has_groups else inventory.VmKind.SERVICE,
+                service="" if self.has_groups else SERVICE,
             )
             for server in self.servers
         )
@@ -175,7 +193,7 @@
         }
         return snapshot.from_parts(1, parts)
 
-    async def _run(self, entry: Entry, report_poller: poller.Poller) -> None:
+    async def _run_entry(self, entry: RoutingEntry, report_poller: poller.Poller) -> None:
         with entry.new_scope():
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(report_poller.run)
@@ -183,7 +201,10 @@
 
 
 def plain_rules(**fields) -> rules.Rules:
-    """Return rules with one plain service."""
+    """Return rules with one plain service in one availability zone.
+
+    :param fields: further fields of :class:`rules.Service`
+    """
     service = rules.Service(SERVICE, rules.ServiceKind.PLAIN, **fields)
     return rules.Rules(services=(service,), availability_zones=(rules.AvailabilityZone("zone-a"),))
 
@@ -191,18 +212,21 @@
 @contextlib.asynccontextmanager
 async def running(
     servers: list[backends.Server], entries: int = 7, **fields
-) -> collections.abc.AsyncIterator[Fleet]:
-    """Run a fleet, and end all of it afterwards."""
+) -> collections.abc.AsyncIterator[RoutingSite]:
+    """Run a site with a number of entries, and cancel all of its tasks afterwards.
+
+    :param fields: further fields of :class:`RoutingSite`
+    """
     fields.setdefault("rules", plain_rules())
     failure: Exception | None = None
     async with trio.open_nursery() as nursery:
-        fleet = Fleet(nursery, servers, **fields)
+        site = RoutingSite(nursery, servers, **fields)
         for number in range(entries):
-            fleet.add_entry(f"entry-{number}")
+            site.add_entry(f"entry-{number}")
         try:
-            yield fleet
+            yield site
         except Exception as error:
-            # Raised in here, the nursery would wrap it in a group.
+            # The nursery would wrap an error raised here in an exception group.
             failure = error
         nursery.cancel_scope.cancel()
     if failure is not None:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -23,7 +23,7 @@
 
 def warm_server(**fields):
     """Return a warm server that runs two requests at once, each for half a second."""
-    return backends.Server("vm-0", warm=True, slots=2, first_token_s=0.43, **fields)
+    return backends.Server("vm-0", is_warm=True, slots=2, first_token_s=0.43, **fields)
 
 
 class FairOrderTest(unittest.TestCase):
@@ -76,7 +76,7 @@
             entry = site.entries["entry-0"]
             await trio.sleep(2)
             for number in range(50):
-                answer = await site.ask(entry, adapter=f"made-up-{number}")
+                answer = await site.send_request(entry, adapter=f"made-up-{number}")
                 self.assertEqual("no-capacity", answer)
             self.assertEqual({}, entry.router.admission._queues)
 
@@ -89,25 +89,25 @@
         async with routers.running([warm_server()], entries=1) as site:
             entry = site.entries["entry-0"]
             await trio.sleep(2)
-            site.flood(entry, 40, workspace="large")
+            site.start_callers(entry, 40, workspace="large")
             await trio.sleep(5)
             began_s = trio.current_time()
             for _ in range(20):
-                self.assertEqual("whole", await site.ask(entry, workspace="small"))
+                self.assertEqual("whole", await site.send_request(entry, workspace="small"))
             self.assertLess(trio.current_time() - began_s, 20 * 1.1)
 
     def test_workspace_does_not_exceed_its_limit_in_flight(self):
         on_test_clock(self._limit)
 
     async def _limit(self):
-        server = backends.Server("vm-0", warm=True, slots=8, first_token_s=0.43)
+        server = backends.Server("vm-0", is_warm=True, slots=8, first_token_s=0.43)
         limited = rules_with(rules.Workspace("capped", max_in_flight=2))
         async with routers.running([server], entries=1, rules=limited) as site:
             await trio.sleep(2)
-            site.flood(site.entries["entry-0"], 6, workspace="capped")
+            site.start_callers(site.entries["entry-0"], 6, workspace="capped")
             await trio.sleep(5)
             self.assertEqual(2, server.max_running)
-            site.flood(site.entries["entry-0"], 3, workspace="other")
+            site.start_callers(site.entries["entry-0"], 3, workspace="other")
             await trio.sleep(5)
         self.assertEqual(5, server.max_running)
 
@@ -121,7 +121,7 @@
         async with routers.running([warm_server()], entries=1) as site:
             entry = site.entries["entry-0"]
             await trio.sleep(2)
-            site.flood(entry, 20, workspace="large")
+            site.start_callers(entry, 20, workspace="large")
             await trio.sleep(5)
             began_s = trio.current_time()
             with self.assertRaises(requests.RequestError) as raised:
@@ -137,14 +137,14 @@
         on_test_clock(self._deadline)
 
     async def _deadline(self):
-        server = backends.Server("vm-0", warm=True, slots=1, first_token_s=100)
+        server = backends.Server("vm-0", is_warm=True, slots=1, first_token_s=100)
         async with routers.running([server], entries=1) as site:
             entry = site.entries["entry-0"]
             await trio.sleep(2)
-            site.flood(entry, 1, timeout_s=300)
+            site.start_callers(entry, 1, timeout_s=300)
             await trio.sleep(1)
             began_s = trio.current_time()
-            self.assertEqual("deadline", await site.ask(entry, timeout_s=3))
+            self.assertEqual("deadline", await site.send_request(entry, timeout_s=3))
             self.assertAlmostEqual(3, trio.current_time() - began_s, delta=0.1)
             self.assertEqual(0, entry.router.admission.waiting())
 
@@ -152,13 +152,15 @@
         on_test_clock(self._disconnect)
 
     async def _disconnect(self):
-        server = backends.Server("vm-0", warm=True, slots=1, first_token_s=100)
+        server = backends.Server("vm-0", is_warm=True, slots=1, first_token_s=100)
         async with routers.running([server], entries=1) as site:
             entry = site.entries["entry-0"]
             await trio.sleep(2)
-            site.flood(entry, 1, timeout_s=300)
+            site.start_callers(entry, 1, timeout_s=300)
             await trio.sleep(1)
-            self.assertEqual("left", await site.ask(entry, leave_after_s=1, timeout_s=60))
+            self.assertEqual(
+                "left", await site.send_request(entry, disconnect_after_s=1, timeout_s=60)
+            )
             self.assertEqual(0, entry.router.admission.waiting())
             self.assertEqual(1, entry.router.in_flight.total())
 
@@ -167,13 +169,13 @@
         on_test_clock(self._lose_server)
 
     async def _lose_server(self):
-        server = backends.Server("vm-0", warm=True, slots=1, first_token_s=100)
+        server = backends.Server("vm-0", is_warm=True, slots=1, first_token_s=100)
         async with routers.running([server], entries=1) as site:
             entry = site.entries["entry-0"]
             await trio.sleep(2)
-            site.flood(entry, 1, timeout_s=300)
+            site.start_callers(entry, 1, timeout_s=300)
             await trio.sleep(1)
             server.is_up = False
             began_s = trio.current_time()
-            self.assertEqual("no-capacity", await site.ask(entry, timeout_s=60))
+            self.assertEqual("no-capacity", await site.send_request(entry, timeout_s=60))
             self.assertLess(trio.current_time() - began_s, 2)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -92,15 +92,15 @@
         on_test_clock(self._adapter)
 
     async def _adapter(self):
-        servers = [backends.Server("vm-0", warm=True), backends.Server("vm-1", warm=True)]
+        servers = [backends.Server("vm-0", is_warm=True), backends.Server("vm-1", is_warm=True)]
         servers[1].adapters = ("county",)
         async with routers.running(servers, entries=1) as site:
             entry = site.entries["entry-0"]
             await trio.sleep(2)
             for _ in range(20):
-                self.assertEqual("whole", await site.ask(entry, adapter="county"))
-            self.assertEqual("no-capacity", await site.ask(entry, adapter="unknown"))
-        self.assertEqual(0, servers[0].started)
+                self.assertEqual("whole", await site.send_request(entry, adapter="county"))
+            self.assertEqual("no-capacity", await site.send_request(entry, adapter="unknown"))
+        self.assertEqual(0, servers[0].started_requests)
 
 
 class EstimateTest(unittest.TestCase):
@@ -122,13 +122,13 @@
         self.assertGreaterEqual(on_test_clock(self._max_concurrent, router.build_baseline), 40)
 
     async def _max_concurrent(self, build):
-        server = backends.Server("vm-0", warm=True, slots=100, report_lag_s=0.5, first_token_s=5)
+        server = backends.Server("vm-0", is_warm=True, slots=100, report_lag_s=0.5, first_token_s=5)
         most = 0
         async with routers.running([server], build=build) as site:
             server.slots = 8
             await trio.sleep(15)
             for entry in list(site.entries.values()):
-                site.flood(entry, 10)
+                site.start_callers(entry, 10)
             for _ in range(20):
                 await trio.sleep(0.05)
                 most = max(most, server.running + server.waiting)
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -32,7 +32,7 @@
         async with routers.running([server], build=build) as site:
             await trio.sleep(SETTLE_TIME_S)
             for entry in list(site.entries.values()):
-                site.flood(entry, 5)
+                site.start_callers(entry, 5)
             await trio.sleep(20)
             self.assertGreater(site.outcomes["whole"], 50)
         return server.max_running_cold
@@ -43,17 +43,17 @@
         on_test_clock(self._restart)
 
     async def _restart(self):
-        server = backends.Server("vm-0", bearable=2, warm=True, report_lag_s=0.5)
+        server = backends.Server("vm-0", bearable=2, is_warm=True, report_lag_s=0.5)
         async with routers.running([server]) as site:
             await trio.sleep(SETTLE_TIME_S)
             for entry in list(site.entries.values()):
-                site.flood(entry, 5, timeout_s=1)
+                site.start_callers(entry, 5, timeout_s=1)
             for _ in range(8):
                 await trio.sleep(1.3)
                 self.assertLessEqual(server.max_running_cold, 2)
                 server.restart()
                 await trio.sleep(4.1)
-                server.warm = True
+                server.is_warm = True
         self.assertEqual(2, server.max_running_cold)
 
     def test_roster_change_moves_shares_without_overlap(self):
@@ -66,12 +66,12 @@
         async with routers.running([server], entries=2) as site:
             for number in range(2, 9):
                 entry = site.add_entry(f"entry-{number}")
-                site.flood(entry, 3, timeout_s=2)
+                site.start_callers(entry, 3, timeout_s=2)
                 await trio.sleep(10)
             for number in range(3, 8):
                 stopping_entry = site.entries.pop(f"entry-{number}")
                 await stopping_entry.router.release()
-                stopping_entry.end()
+                stopping_entry.kill()
                 await trio.sleep(10)
         self.assertLessEqual(server.max_running_cold, 4)
         self.assertGreaterEqual(server.max_running_cold, 1)
@@ -83,16 +83,16 @@
         on_test_clock(self._death)
 
     async def _death(self):
-        server = backends.Server("vm-0", bearable=2, first_token_s=60, unnoticed_s=100)
+        server = backends.Server("vm-0", bearable=2, first_token_s=60, disconnect_detection_s=100)
         async with routers.running([server]) as site:
             await trio.sleep(SETTLE_TIME_S)
             for entry in list(site.entries.values()):
-                site.flood(entry, 1, timeout_s=300)
+                site.start_callers(entry, 1, timeout_s=300)
             for number in range(5):
                 await trio.sleep(20)
                 site.kill(f"entry-{number}")
             await trio.sleep(200)
-            self.assertGreater(server.started, 4)
+            self.assertGreater(server.started_requests, 4)
         self.assertLessEqual(server.max_running_cold, 2)
 
     def test_paused_entry_resumes_after_others_acquired_its_slots(self):
@@ -105,13 +105,13 @@
         async with routers.running([server]) as site:
             await trio.sleep(SETTLE_TIME_S)
             for entry in list(site.entries.values()):
-                site.flood(entry, 1, timeout_s=600)
+                site.start_callers(entry, 1, timeout_s=600)
             for entry in list(site.entries.values())[:3]:
                 await trio.sleep(2)
                 entry.pause()
                 site.platform.set_mode("silent", entry.name)
                 await trio.sleep(45)
-                entry.wake()
+                entry.resume()
                 await trio.sleep(1)
                 site.platform.set_mode("up", entry.name)
         self.assertLessEqual(server.max_running_cold, 3)
@@ -122,14 +122,14 @@
         on_test_clock(self._disconnect)
 
     async def _disconnect(self):
-        server = backends.Server("vm-0", bearable=1, first_token_s=5, unnoticed_s=1)
+        server = backends.Server("vm-0", bearable=1, first_token_s=5, disconnect_detection_s=1)
         async with routers.running([server]) as site:
             await trio.sleep(SETTLE_TIME_S)
             for entry in list(site.entries.values()):
-                site.flood(entry, 2, leave_after_s=0.1, timeout_s=5)
+                site.start_callers(entry, 2, disconnect_after_s=0.1, timeout_s=5)
             await trio.sleep(60)
         self.assertEqual(1, server.max_running_cold)
-        self.assertGreater(server.started, 3)
+        self.assertGreater(server.started_requests, 3)
 
     def test_cold_server_gets_no_requests_once_slots_cannot_be_renewed(self):
         # The key-value service is down for minutes. Entries cannot know whether another one has
@@ -138,22 +138,22 @@
         on_test_clock(self._outage)
 
     async def _outage(self):
-        cold, warm = backends.Server("vm-0"), backends.Server("vm-1", warm=True)
+        cold, warm = backends.Server("vm-0"), backends.Server("vm-1", is_warm=True)
         async with routers.running([cold, warm]) as site:
             await trio.sleep(SETTLE_TIME_S)
             for entry in list(site.entries.values()):
-                site.flood(entry, 2)
+                site.start_callers(entry, 2)
             await trio.sleep(5)
-            self.assertGreater(cold.started, 0)
+            self.assertGreater(cold.started_requests, 0)
             site.platform.set_mode("down")
             await trio.sleep(40)
-            started_cold, started_warm = cold.started, warm.started
+            started_cold, started_warm = cold.started_requests, warm.started_requests
             await trio.sleep(15)
-            self.assertEqual(started_cold, cold.started)
-            self.assertGreater(warm.started, started_warm + 100)
+            self.assertEqual(started_cold, cold.started_requests)
+            self.assertGreater(warm.started_requests, started_warm + 100)
             site.platform.set_mode("up")
             await trio.sleep(20)
-            self.assertGreater(cold.started, started_cold)
+            self.assertGreater(cold.started_requests, started_cold)
         self.assertEqual(1, cold.max_running_cold)
 
     def test_random_faults_never_exceed_the_limit(self):
@@ -165,13 +165,13 @@
     async def _random_faults(self, seed):
         rng = random.Random(seed)
         servers = [
-            backends.Server(f"vm-{n}", bearable=n + 1, report_lag_s=0.5, unnoticed_s=0.8)
+            backends.Server(f"vm-{n}", bearable=n + 1, report_lag_s=0.5, disconnect_detection_s=0.8)
             for n in range(3)
         ]
         async with routers.running(servers, seed=seed) as site:
             await trio.sleep(SETTLE_TIME_S)
             for entry in list(site.entries.values()):
-                site.flood(entry, 2, leave_after_s=rng.uniform(0.05, 3), timeout_s=5)
+                site.start_callers(entry, 2, disconnect_after_s=rng.uniform(0.05, 3), timeout_s=5)
             for step in range(8):
                 await _inject_fault(site, rng, step)
                 await trio.sleep(rng.uniform(0, 8))
@@ -185,11 +185,11 @@
     kind = rng.choice(("kill", "restart", "warm", "outage", "pause"))
     if kind == "kill":
         site.kill(name)
-        site.flood(site.add_entry(f"entry-new-{step}"), 2, timeout_s=5)
+        site.start_callers(site.add_entry(f"entry-new-{step}"), 2, timeout_s=5)
     elif kind == "restart":
         rng.choice(site.servers).restart()
     elif kind == "warm":
-        rng.choice(site.servers).warm = True
+        rng.choice(site.servers).is_warm = True
     elif kind == "outage":
         site.platform.set_mode("down")
         await trio.sleep(rng.uniform(1, 60))
@@ -198,7 +198,7 @@
         site.entries[name].pause()
         site.platform.set_mode("silent", name)
         await trio.sleep(rng.uniform(1, 60))
-        site.entries[name].wake()
+        site.entries[name].resume()
         site.platform.set_mode("up", name)
 
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -19,7 +19,7 @@
 
 def servers(*faults, count=2, **fields):
     """Return warm servers that share a list of faults, each of which is injected once."""
-    backend_servers = [backends.Server(f"vm-{n}", warm=True, **fields) for n in range(count)]
+    backend_servers = [backends.Server(f"vm-{n}", is_warm=True, **fields) for n in range(count)]
     pending = list(faults)
     for server in backend_servers:
         server.faults = pending
@@ -93,12 +93,12 @@
 
     async def _restart(self):
         backend_servers = servers(count=1, first_token_s=1000) + [
-            backends.Server("vm-1", warm=True)
+            backends.Server("vm-1", is_warm=True)
         ]
         backend_servers[1].is_up = False
         async with routers.running(backend_servers, entries=1) as site:
             await trio.sleep(2)
-            site.nursery.start_soon(site.ask, site.entries["entry-0"])
+            site.nursery.start_soon(site.send_request, site.entries["entry-0"])
             await trio.sleep(1)
             backend_servers[1].is_up = True
             backend_servers[0].is_up = False
@@ -137,7 +137,7 @@
 
     async def _read_as_group(self, faults):
         backend_servers = servers(*faults, count=2)
-        async with routers.running(backend_servers, entries=1, as_groups=True) as site:
+        async with routers.running(backend_servers, entries=1, has_groups=True) as site:
             await trio.sleep(2)
             entry = site.entries["entry-0"]
             async with entry.router.dispatcher.serve(site.request()) as answer:
@@ -178,10 +178,10 @@
         async with routers.running(backend_servers, entries=1) as site:
             await trio.sleep(2)
             for _ in range(200):
-                await site.ask(site.entries["entry-0"])
+                await site.send_request(site.entries["entry-0"])
                 await trio.sleep(1)
             self.assertEqual(0, site.outcomes["whole"])
-        self.assertLess(sum(server.started for server in backend_servers), 200 * 1.1 + 12)
+        self.assertLess(sum(server.started_requests for server in backend_servers), 200 * 1.1 + 12)
 
 
 class StalledCallerTest(unittest.TestCase):
@@ -193,7 +193,7 @@
     async def _stall(self):
         backend_servers = servers(count=1, token_s=0.001)
         async with routers.running(
-            backend_servers, entries=1, tokens=lambda request: 20000
+            backend_servers, entries=1, token_count=lambda request: 20000
         ) as site:
             await trio.sleep(2)
             entry = site.entries["entry-0"]
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -25,8 +25,8 @@
         f"vm-{number}",
         bearable=8,
         warm_after_requests=1,
-        warm=True,
-        crashes=lambda request: request.body == CRASHER,
+        is_warm=True,
+        is_crash_trigger=lambda request: request.body == CRASHER,
     )
 
 
@@ -221,7 +221,7 @@
             async def break_connections():
                 for _ in range(2):
                     await trio.sleep(0.03)
-                    for scope in [each for server in servers for each in server.scopes]:
+                    for scope in [each for server in servers for each in server.request_scopes]:
                         scope.cancel()
 
             async with trio.open_nursery() as nursery:
--- a/tools/measure/routing.py
+++ b/tools/measure/routing.py
@@ -118,7 +118,7 @@
     made = [
         backends.Server(
             f"vm-{number}",
-            warm=True,
+            is_warm=True,
             slots=SLOTS,
             first_token_s=FIRST_TOKEN_S,
             token_s=TOKEN_S,
@@ -128,7 +128,7 @@
     ]
     outcomes: list[Outcome] = []
     tokens = _token_counts(seed)
-    async with routers.running(made, build=build, seed=seed, tokens=tokens) as site:
+    async with routers.running(made, build=build, seed=seed, token_count=tokens) as site:
         await trio.sleep(WARM_UP_S)
         total = sum(rates.values()) * CAPACITY_PER_S
         end_s = trio.current_time() + RUN_S
@@ -147,7 +147,7 @@
     return lambda request: rng.randint(MEAN_TOKENS // 2, MEAN_TOKENS * 3 // 2)
 
 
-async def _ask(site: routers.Fleet, entry: routers.Entry, outcome: Outcome) -> None:
+async def _ask(site: routers.RoutingSite, entry: routers.RoutingEntry, outcome: Outcome) -> None:
     request = site.request(workspace=outcome.workspace, timeout_s=DEADLINE_S)
     began_s = trio.current_time()
     try:
@@ -183,11 +183,11 @@
     async with routers.running(made, build=build, seed=seed) as site:
         await trio.sleep(WARM_UP_S)
         for entry in list(site.entries.values()):
-            site.flood(entry, 4, timeout_s=2)
+            site.start_callers(entry, 4, timeout_s=2)
         for _ in range(20):
             await trio.sleep(rng.uniform(0.5, 3))
             server = rng.choice(made)
-            server.warm = True
+            server.is_warm = True
             await trio.sleep(rng.uniform(0.5, 3))
             server.restart()
     return max(server.max_running_cold for server in made)
@@ -195,7 +195,7 @@
 
 async def _decision_us(build, size: int, seed: int) -> float:
     rng = random.Random(seed)
-    made = [backends.Server(f"vm-{number}", warm=True) for number in range(size)]
+    made = [backends.Server(f"vm-{number}", is_warm=True) for number in range(size)]
     async with routers.running(made, entries=1, build=build, seed=seed) as site:
         await trio.sleep(WARM_UP_S)
         entry = site.entries["entry-0"]
@@ -203,7 +203,7 @@
 
 
 def _time_decisions(
-    entry: routers.Entry,
+    entry: routers.RoutingEntry,
     request: requests.CallerRequest,
     made: list[backends.Server],
     rng: random.Random,
