--- a/standins/orders.py
+++ b/standins/orders.py
@@ -1,4 +1,4 @@
-"""What orders meet, in memory on trio's clock: a key-value service and a sender, with faults."""
+"""Fake key-value service, dispatcher and entries for tests of orders, with fault injection."""
 
 import collections
 import contextlib
@@ -15,38 +15,43 @@
 from toucanhold.routing import dispatch, requests
 
 SERVICE = rules.Service("releases", rules.ServiceKind.PLAIN)
-LATE_S = 5.0
+LATE_EFFECT_DELAY_S = 5.0
 
 
 @attrs.define(eq=False)
-class FakeKeyValue(keyvalue.KeyValueClient):
-    """A store in memory.
-
-    :ivar faults: by number of the call: "unavailable", "lost-request", "lost-answer" or "late"
-    :ivar down: every call fails before it has an effect
-    :ivar latency_s: time of each call
-    :ivar calls_per_s: what the store takes; what comes faster waits, and may time out
+class FakeKeyValueClient(keyvalue.KeyValueClient):
+    """In-memory key-value service.
+
+    :ivar items: items by key
+    :ivar leases: ids of the leases in force
+    :ivar faults: faults by call number: ``unavailable``, ``lost-request``, ``lost-answer``,
+        ``late`` (takes effect ``LATE_EFFECT_DELAY_S`` later) or ``bug`` (an unexpected error)
+    :ivar is_down: whether every call fails before it has an effect
+    :ivar latency_s: duration of each call, seconds
+    :ivar calls_per_s: capacity; calls above it wait and may time out
+    :ivar timeout_s: client's time-out of a call, seconds
+    :ivar calls: number of calls by kind
     """
 
     items: dict[str, keyvalue.Item] = attrs.field(factory=dict)
     leases: set[int] = attrs.field(factory=set)
     faults: dict[int, str] = attrs.field(factory=dict)
-    down: bool = False
+    is_down: bool = False
     latency_s: float = 0.005
     calls_per_s: float = float("inf")
     timeout_s: float = 2.0
     calls: collections.Counter = attrs.field(factory=collections.Counter)
     revision: int = 1
-    _late: list = attrs.field(factory=list)
-    _free_at_s: float = 0.0
+    _delayed_effects: list = attrs.field(factory=list)
+    _idle_from_s: float = 0.0
 
     async def close(self):
         """See :class:`keyvalue.KeyValueClient`."""
 
     async def read(self, prefix, min_mod_revision=0):
         """See :class:`keyvalue.KeyValueClient`."""
-        found = tuple(item for key, item in self.items.items() if key.startswith(prefix))
-        return await self._call("read", lambda: keyvalue.RangeResult(self.revision, found))
+        matching_items = tuple(item for key, item in self.items.items() if key.startswith(prefix))
+        return await self._call("read", lambda: keyvalue.RangeResult(self.revision, matching_items))
 
     async def read_key(self, key):
         """See :class:`keyvalue.KeyValueClient`."""
@@ -58,7 +63,7 @@
 
     async def grant_lease(self, ttl_s):
         """See :class:`keyvalue.KeyValueClient`."""
-        return await self._call("grant", self._grant)
+        return await self._call("grant", self._grant_lease)
 
     async def keep_alive(self, lease):
         """See :class:`keyvalue.KeyValueClient`."""
@@ -66,29 +71,29 @@
 
     async def revoke_lease(self, lease):
         """See :class:`keyvalue.KeyValueClient`."""
-        self.lapse(lease)
+        self.expire_lease(lease)
 
     def watch(self, prefix, start_revision):
-        """Not needed here: nothing watches orders."""
-        raise keyvalue.UnavailableError("no watches here")
+        """Fail, as orders are never watched."""
+        raise keyvalue.UnavailableError("the fake key-value service supports no watches")
 
-    def lapse(self, lease):
-        """End a lease and delete its keys."""
+    def expire_lease(self, lease):
+        """Expire a lease and delete its keys."""
         self.leases.discard(lease)
         self.items = {key: item for key, item in self.items.items() if item.lease != lease}
 
     async def _call(self, kind, effect):
-        number = self.calls.total()
+        call_number = self.calls.total()
         self.calls[kind] += 1
-        await self._wait_served()
-        self._arrive()
-        fault = "unavailable" if self.down else self.faults.get(number)
+        await self._wait_for_capacity()
+        self._apply_due_effects()
+        fault = "unavailable" if self.is_down else self.faults.get(call_number)
         if fault == "unavailable":
-            raise keyvalue.UnavailableError("down")
+            raise keyvalue.UnavailableError("the key-value service is down")
         if fault == "bug":
-            raise ValueError("a fault of our own")
+            raise ValueError("injected fault: unexpected error in the client")
         if fault == "late":
-            self._late.append((trio.current_time() + LATE_S, effect))
+            self._delayed_effects.append((trio.current_time() + LATE_EFFECT_DELAY_S, effect))
         if fault in ("lost-request", "late"):
             raise keyvalue.IndeterminateError(fault)
         result = effect()
@@ -96,23 +101,25 @@
             raise keyvalue.IndeterminateError(fault)
         return result
 
-    async def _wait_served(self):
+    async def _wait_for_capacity(self):
         now_s = trio.current_time()
-        self._free_at_s = max(now_s, self._free_at_s) + 1 / self.calls_per_s
-        wait_s = self._free_at_s - now_s + self.latency_s
+        self._idle_from_s = max(now_s, self._idle_from_s) + 1 / self.calls_per_s
+        wait_s = self._idle_from_s - now_s + self.latency_s
         if wait_s > self.timeout_s:
             await trio.sleep(self.timeout_s)
-            raise keyvalue.IndeterminateError("no answer in time")
+            raise keyvalue.IndeterminateError(f"no response within {self.timeout_s} s")
         await trio.sleep(wait_s)
 
-    def _arrive(self):
-        due = [effect for due_s, effect in self._late if due_s <= trio.current_time()]
-        self._late = [late for late in self._late if late[0] > trio.current_time()]
+    def _apply_due_effects(self):
+        due = [effect for due_s, effect in self._delayed_effects if due_s <= trio.current_time()]
+        self._delayed_effects = [
+            delayed for delayed in self._delayed_effects if delayed[0] > trio.current_time()
+        ]
         for effect in due:
             with contextlib.suppress(keyvalue.KeyValueError):
                 effect()
 
-    def _grant(self):
+    def _grant_lease(self):
         self.leases.add(len(self.leases) + 1000)
         return len(self.leases) + 999
 
@@ -128,9 +135,9 @@
                 return keyvalue.CommitResult(False, self.revision)
         self.revision += 1
         for write in writes:
-            former = self.items.pop(write.key, absent)
+            previous = self.items.pop(write.key, absent)
             if write.value is not None:
-                created = former.create_revision or self.revision
+                created = previous.create_revision or self.revision
                 self.items[write.key] = keyvalue.Item(
                     write.key, write.value, created, self.revision, write.lease
                 )
@@ -138,15 +145,19 @@
 
 
 @attrs.define(eq=False)
-class FakeSender:
-    """Runs orders, and notes the ids of those that ran.
-
-    :ivar behaviours: one for each sending: "ok", "not-sent", "lost-after-run", "lost-before-run"
+class FakeDispatcher:
+    """Dispatcher that runs orders and records which ran.
+
+    :ivar executed_ids: request ids of the orders that ran, in order
+    :ivar behaviours: behaviours of the next requests, one for each: ``ok``, ``not-sent``,
+        ``lost-after-run``, ``lost-before-run`` or ``bug`` (an unexpected error)
+    :ivar processing_s: time that an order runs, seconds
+    :ivar body: body of the response
     """
 
-    runs: list[str] = attrs.field(factory=list)
+    executed_ids: list[str] = attrs.field(factory=list)
     behaviours: list[str] = attrs.field(factory=list)
-    run_s: float = 0.1
+    processing_s: float = 0.1
     body: bytes = b"done"
 
     @contextlib.asynccontextmanager
@@ -157,51 +168,58 @@
             raise requests.RequestError(
                 requests.Problem.NO_CAPACITY, requests.Outcome.DID_NOT_RUN, "no server", 1.0
             )
-        await trio.sleep(self.run_s)
+        await trio.sleep(self.processing_s)
         if behaviour != "lost-before-run":
-            self.runs.append(request.request_id)
+            self.executed_ids.append(request.request_id)
         if behaviour == "bug":
-            raise ValueError("a fault of our own")
+            raise ValueError("injected fault: unexpected error in the dispatcher")
         if behaviour != "ok":
             raise requests.RequestError(
                 requests.Problem.OUTCOME_UNKNOWN, requests.Outcome.UNKNOWN, "lost"
             )
-        yield dispatch.Answer(200, ((b"content-type", b"text/plain"),), _once(self.body))
+        yield dispatch.Answer(200, ((b"content-type", b"text/plain"),), _single_chunk(self.body))
 
 
-async def _once(body):
+async def _single_chunk(body):
     yield body
 
 
 @attrs.define(eq=False)
 class FakeEntry:
-    """An entry's keeper in a nursery of its own, so that it can be ended."""
+    """An entry reduced to its order handler, which can be killed.
 
-    keeper: keeper.OrderKeeper
-    scopes: list = attrs.field(factory=list)
+    :ivar cancel_scopes: cancel scopes of its tasks
+    """
+
+    order_handler: keeper.OrderKeeper
+    cancel_scopes: list = attrs.field(factory=list)
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED):
-        """Run until killed."""
+        """Run the order handler until killed."""
         with trio.CancelScope() as scope:
-            self.scopes.append(scope)
-            await self.keeper.run(task_status=task_status)
+            self.cancel_scopes.append(scope)
+            await self.order_handler.run(task_status=task_status)
 
     def kill(self):
-        """End everything at once."""
-        for scope in self.scopes:
+        """Cancel all tasks at once."""
+        for scope in self.cancel_scopes:
             scope.cancel()
 
-    def issue(self):
+    def issue_key(self):
         """Return a new order key."""
-        return self.keeper.issued.issue("growers", 1)[0]
+        return self.order_handler.issued.issue("growers", 1)[0]
+
+    async def send_order(self, request):
+        """Send an order to this entry and return (status, outcome, body).
 
-    async def order(self, request):
-        """Return (status, outcome, body); "dead" where the entry ended first."""
+        The status is the problem's slug, and the body the time to wait before a repetition in
+        seconds, when the order fails; the status is ``dead`` when the entry is killed first.
+        """
         result = ("dead", "unknown", b"")
         with trio.CancelScope() as scope:
-            self.scopes.append(scope)
+            self.cancel_scopes.append(scope)
             try:
-                async with self.keeper.serve(request) as answer:
+                async with self.order_handler.serve(request) as answer:
                     body = b"".join([chunk async for chunk in answer.chunks])
                     result = (answer.status, "ran", body)
             except requests.RequestError as error:
@@ -210,10 +228,16 @@
 
 
 def new_entry(name, store, sender, calls_per_s=1000.0, address="127.0.0.1:1"):
-    """Return an entry that is not running."""
+    """Return an entry that is not running.
+
+    :param store: the key-value service
+    :param sender: the dispatcher
+    :param calls_per_s: limit of the calls of all entries together to the key-value service
+    :param address: address at which callers reach the entry
+    """
     boot = f"boot-of-{name}-{random.random()}"
-    own = roster.Member(name, "zone-a", address, "", "", boot=boot)
-    entries = roster.Roster(own)
+    own_member = roster.Member(name, "zone-a", address, "", "", boot=boot)
+    entries = roster.Roster(own_member)
     return FakeEntry(
         building.new_keeper(
             entries,
@@ -227,9 +251,14 @@
 
 
 def new_request(key="key-1", body=b"{}", timeout_s=10.0, **changes):
-    """Return an order."""
+    """Return an order with a new request id.
+
+    :param key: idempotency key
+    :param timeout_s: time until the deadline, seconds
+    :param changes: further fields of :class:`requests.CallerRequest`
+    """
     new_request.count += 1
-    values = {
+    field_values = {
         "request_id": f"request-{new_request.count}",
         "workspace": "growers",
         "service": SERVICE,
@@ -241,7 +270,7 @@
         "may_repeat": False,
         "idempotency_key": key,
     }
-    return requests.CallerRequest(**(values | changes))
+    return requests.CallerRequest(**(field_values | changes))
 
 
 new_request.count = 0
--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -93,7 +93,9 @@
         entries = roster.Roster(own)
         table = facts.FactTable(facts.EntryFact(own, 1))
         found = directory.Directory(entries, table, 1.0, frozenset, lambda: True, random.Random(1))
-        orders = order_fakes.new_entry("own", order_fakes.FakeKeyValue(), self.dispatcher).keeper
+        orders = order_fakes.new_entry(
+            "own", order_fakes.FakeKeyValueClient(), self.dispatcher
+        ).order_handler
         permit = mock.Mock(refusal=lambda: None)
         return app.CallersApp(
             configuration,
--- a/tests/test_order_keys.py
+++ b/tests/test_order_keys.py
@@ -16,31 +16,33 @@
     def with_known(self, body):
         async def known(store, sender, a, b):
             for one, other in ((a, b), (b, a)):
-                one.keeper.issued.roster.update_from_peer(other.keeper.issued.roster.own)
+                one.order_handler.issued.roster.update_from_peer(
+                    other.order_handler.issued.roster.own
+                )
             await body(store, sender, a, b)
 
         self.with_entries(known)
 
     def test_orders_run_through_an_outage_without_a_platform_call(self):
         async def body(store, sender, a, b):
-            store.down = True
-            key = a.issue()
+            store.is_down = True
+            key = a.issue_key()
             for _ in range(3):
-                answer = await a.order(order_fakes.new_request(key))
+                answer = await a.send_order(order_fakes.new_request(key))
                 self.assertEqual((200, "ran", b"done"), answer)
-            self.assertEqual((1, 0), (len(sender.runs), store.calls.total()))
+            self.assertEqual((1, 0), (len(sender.executed_ids), store.calls.total()))
 
         self.with_known(body)
 
     def test_another_entry_names_the_issuer_and_runs_nothing(self):
         async def body(store, sender, a, b):
-            answer = await b.order(order_fakes.new_request(a.issue()))
+            answer = await b.send_order(order_fakes.new_request(a.issue_key()))
             self.assertEqual(("wrong-entry", "did-not-run"), answer[:2])
             with self.assertRaises(Exception) as caught:
-                async with b.keeper.serve(order_fakes.new_request(a.issue())):
+                async with b.order_handler.serve(order_fakes.new_request(a.issue_key())):
                     pass
             self.assertEqual("127.0.0.1:1", caught.exception.entry_address)
-            self.assertEqual([], sender.runs)
+            self.assertEqual([], sender.executed_ids)
 
         self.with_known(body)
 
@@ -48,72 +50,74 @@
         # Entry "a" ran the order and was killed. Its successor of the same name, and entry "b",
         # cannot know that; they must say so, and must not run it.
         async def body(store, sender, a, b):
-            key = a.issue()
-            await a.order(order_fakes.new_request(key))
+            key = a.issue_key()
+            await a.send_order(order_fakes.new_request(key))
             a.kill()
-            b.keeper.issued.roster.forget("a")
+            b.order_handler.issued.roster.forget("a")
             again = order_fakes.new_entry("a", store, sender)
             for entry in (b, again):
-                answer = await entry.order(order_fakes.new_request(key))
+                answer = await entry.send_order(order_fakes.new_request(key))
                 self.assertEqual(("outcome-unknown", "unknown"), answer[:2])
-            store.down = True
-            self.assertEqual("unknown", (await b.order(order_fakes.new_request(key)))[1])
-            self.assertEqual(1, len(sender.runs))
+            store.is_down = True
+            self.assertEqual("unknown", (await b.send_order(order_fakes.new_request(key)))[1])
+            self.assertEqual(1, len(sender.executed_ids))
 
         self.with_known(body)
 
     def test_planned_stop_hands_the_outcomes_over(self):
         async def body(store, sender, a, b):
-            used = [a.issue() for _ in range(100)]
+            used = [a.issue_key() for _ in range(100)]
             for key in used:
-                await a.order(order_fakes.new_request(key))
-            self.assertEqual(0, await a.keeper.finish(limit_s=30))
+                await a.send_order(order_fakes.new_request(key))
+            self.assertEqual(0, await a.order_handler.finish(limit_s=30))
             a.kill()
-            b.keeper.issued.roster.forget("a")
+            b.order_handler.issued.roster.forget("a")
             for key in used:
-                answer = await b.order(order_fakes.new_request(key))
+                answer = await b.send_order(order_fakes.new_request(key))
                 self.assertEqual((200, "ran", b"done"), answer)
-            other = await b.order(order_fakes.new_request(used[0], body=b"other"))
+            other = await b.send_order(order_fakes.new_request(used[0], body=b"other"))
             self.assertEqual("key-reused", other[0])
-            self.assertEqual(100, len(sender.runs))
+            self.assertEqual(100, len(sender.executed_ids))
 
         self.with_known(body)
 
     def test_repeats_while_it_runs_and_with_another_body(self):
         async def body(store, sender, a, b):
-            sender.run_s = 5.0
-            key = a.issue()
+            sender.processing_s = 5.0
+            key = a.issue_key()
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(a.order, order_fakes.new_request(key))
+                nursery.start_soon(a.send_order, order_fakes.new_request(key))
                 await trio.sleep(1)
-                self.assertEqual("in-progress", (await a.order(order_fakes.new_request(key)))[0])
-                other = await a.order(order_fakes.new_request(key, path="/valves/8"))
+                self.assertEqual(
+                    "in-progress", (await a.send_order(order_fakes.new_request(key)))[0]
+                )
+                other = await a.send_order(order_fakes.new_request(key, path="/valves/8"))
                 self.assertEqual(("key-reused", "did-not-run"), other[:2])
-            self.assertEqual(1, len(sender.runs))
+            self.assertEqual(1, len(sender.executed_ids))
 
         self.with_known(body)
 
     def test_order_that_did_not_run_may_be_repeated(self):
         async def body(store, sender, a, b):
             sender.behaviours = ["not-sent", "lost-after-run"]
-            key = a.issue()
-            outcomes = [(await a.order(order_fakes.new_request(key)))[1] for _ in range(3)]
+            key = a.issue_key()
+            outcomes = [(await a.send_order(order_fakes.new_request(key)))[1] for _ in range(3)]
             self.assertEqual(["did-not-run", "unknown", "unknown"], outcomes)
-            self.assertEqual(1, len(sender.runs))
+            self.assertEqual(1, len(sender.executed_ids))
 
         self.with_known(body)
 
     def test_expired_key_is_never_run_and_is_forgotten(self):
         # The key outlives what its entry remembers. A repeat hours later must not run again.
         async def body(store, sender, a, b):
-            used, unused = a.issue(), a.issue()
-            await a.order(order_fakes.new_request(used))
+            used, unused = a.issue_key(), a.issue_key()
+            await a.send_order(order_fakes.new_request(used))
             await trio.sleep(keys.VALID_S + 1)
             for key in (used, unused):
-                answer = await a.order(order_fakes.new_request(key))
+                answer = await a.send_order(order_fakes.new_request(key))
                 self.assertEqual(("outcome-unknown", "unknown"), answer[:2])
-            self.assertEqual(1, len(sender.runs))
-            self.assertFalse(a.keeper.issued._used)
+            self.assertEqual(1, len(sender.executed_ids))
+            self.assertFalse(a.order_handler.issued._used)
 
         self.with_known(body)
 
@@ -123,39 +127,39 @@
                 mock.patch.object(issued, "MAX_USED_KEYS", 3),
                 mock.patch.object(issued, "MAX_KEPT_ANSWERS_BYTES", 10),
             ):
-                used = [a.issue() for _ in range(4)]
-                answers = [(await a.order(order_fakes.new_request(key)))[0] for key in used]
+                used = [a.issue_key() for _ in range(4)]
+                answers = [(await a.send_order(order_fakes.new_request(key)))[0] for key in used]
                 self.assertEqual([200, 200, 200, "overloaded"], answers)
-                repeats = [(await a.order(order_fakes.new_request(key)))[0] for key in used]
+                repeats = [(await a.send_order(order_fakes.new_request(key)))[0] for key in used]
                 self.assertEqual([200, 200, "answer-not-kept", "overloaded"], repeats)
-            self.assertEqual(3, len(sender.runs))
+            self.assertEqual(3, len(sender.executed_ids))
 
         self.with_known(body)
 
     def test_keys_that_nobody_issued_are_refused(self):
         async def body(store, sender, a, b):
-            key = a.issue()
+            key = a.issue_key()
             body_part, _, mac = key.removeprefix(keys.PREFIX).partition(".")
             forged = keys.KeySigner(keyring.from_text("another secret")).issue(
                 "a", "boot", "growers", 1e9
             )
             for bad in ("thk1.", "thk1.x", f"thk1.{body_part}.AAAA", key[:-4], key + "A", forged):
-                answer = await a.order(order_fakes.new_request(bad))
+                answer = await a.send_order(order_fakes.new_request(bad))
                 self.assertEqual(("malformed", "did-not-run"), answer[:2], bad)
-            foreign = await a.order(order_fakes.new_request(key, workspace="orchards"))
+            foreign = await a.send_order(order_fakes.new_request(key, workspace="orchards"))
             self.assertEqual("malformed", foreign[0])
-            self.assertEqual([], sender.runs)
+            self.assertEqual([], sender.executed_ids)
 
         self.with_known(body)
 
     def test_other_spelling_of_a_key_is_no_second_order(self):
         # The last character of the signature has unused bits: another one decodes to the same.
         async def body(store, sender, a, b):
-            key = a.issue()
-            await a.order(order_fakes.new_request(key))
+            key = a.issue_key()
+            await a.send_order(order_fakes.new_request(key))
             for last in "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_":
-                await a.order(order_fakes.new_request(key[:-1] + last))
-            self.assertEqual(1, len(sender.runs))
+                await a.send_order(order_fakes.new_request(key[:-1] + last))
+            self.assertEqual(1, len(sender.executed_ids))
 
         self.with_known(body)
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -25,7 +25,7 @@
 
     def with_entries(self, body):
         async def main():
-            store, sender = order_fakes.FakeKeyValue(), order_fakes.FakeSender()
+            store, sender = order_fakes.FakeKeyValueClient(), order_fakes.FakeDispatcher()
             entries = [order_fakes.new_entry(name, store, sender) for name in ("a", "b")]
             async with trio.open_nursery() as nursery:
                 for entry in entries:
@@ -39,23 +39,23 @@
 class RepeatTest(OrderTest):
     def test_repeat_gets_the_recorded_answer_at_either_entry(self):
         async def body(store, sender, a, b):
-            first = await a.order(order_fakes.new_request())
+            first = await a.send_order(order_fakes.new_request())
             await trio.sleep(1)
             for entry in (a, b):
                 self.assertEqual(
-                    (200, "ran", b"done"), await entry.order(order_fakes.new_request())
+                    (200, "ran", b"done"), await entry.send_order(order_fakes.new_request())
                 )
             self.assertEqual((200, "ran", b"done"), first)
-            self.assertEqual(1, len(sender.runs))
+            self.assertEqual(1, len(sender.executed_ids))
 
         self.with_entries(body)
 
     def test_order_costs_two_calls(self):
         async def body(store, sender, a, b):
-            await a.order(order_fakes.new_request("first"))
+            await a.send_order(order_fakes.new_request("first"))
             await trio.sleep(1)
             store.calls.clear()
-            await a.order(order_fakes.new_request("second"))
+            await a.send_order(order_fakes.new_request("second"))
             await trio.sleep(1)
             self.assertEqual({"write": 2}, dict(store.calls))
 
@@ -65,16 +65,18 @@
         # The caller sends again, at the same entry and at another, while the order runs: both
         # are told "in progress" with a time to come back, neither waits, and nothing runs twice.
         async def body(store, sender, a, b):
-            sender.run_s = 8.0
+            sender.processing_s = 8.0
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(a.order, order_fakes.new_request())
+                nursery.start_soon(a.send_order, order_fakes.new_request())
                 await trio.sleep(1)
                 for entry in (a, b):
-                    problem, outcome, retry_after_s = await entry.order(order_fakes.new_request())
+                    problem, outcome, retry_after_s = await entry.send_order(
+                        order_fakes.new_request()
+                    )
                     self.assertEqual(("in-progress", "unknown"), (problem, outcome))
                     self.assertGreater(retry_after_s, 0)
                 self.assertLess(trio.current_time(), 3)
-            self.assertEqual(1, len(sender.runs))
+            self.assertEqual(1, len(sender.executed_ids))
 
         self.with_entries(body)
 
@@ -83,50 +85,50 @@
             outcomes = []
 
             async def send(entry):
-                outcomes.append((await entry.order(order_fakes.new_request()))[0])
+                outcomes.append((await entry.send_order(order_fakes.new_request()))[0])
 
             async with trio.open_nursery() as nursery:
                 for entry in (a, b, a, b):
                     nursery.start_soon(send, entry)
-            self.assertEqual(1, len(sender.runs))
+            self.assertEqual(1, len(sender.executed_ids))
             self.assertEqual([200] + ["in-progress"] * 3, sorted(outcomes, key=str))
 
         self.with_entries(body)
 
     def test_key_with_another_body_or_path_is_refused(self):
         async def body(store, sender, a, b):
-            await a.order(order_fakes.new_request())
+            await a.send_order(order_fakes.new_request())
             await trio.sleep(1)
             for changes in ({"body": b"other"}, {"path": "/valves/8"}, {"method": "PUT"}):
-                answer = await b.order(order_fakes.new_request(**changes))
+                answer = await b.send_order(order_fakes.new_request(**changes))
                 self.assertEqual(("key-reused", "did-not-run"), answer[:2])
             other = order_fakes.new_request(workspace="orchards", body=b"other")
-            self.assertEqual(200, (await b.order(other))[0])
-            self.assertEqual(2, len(sender.runs))
+            self.assertEqual(200, (await b.send_order(other))[0])
+            self.assertEqual(2, len(sender.executed_ids))
 
         self.with_entries(body)
 
     def test_large_answer_is_passed_on_and_recorded_without_its_body(self):
         async def body(store, sender, a, b):
             sender.body = b"x" * (records.KEPT_BODY_LIMIT_BYTES + 1)
-            first = await a.order(order_fakes.new_request())
+            first = await a.send_order(order_fakes.new_request())
             await trio.sleep(1)
             self.assertEqual((200, "ran", sender.body), first)
             for entry in (a, b):
-                answer = await entry.order(order_fakes.new_request())
+                answer = await entry.send_order(order_fakes.new_request())
                 self.assertEqual(("answer-not-kept", "ran"), answer[:2])
-            self.assertEqual(1, len(sender.runs))
+            self.assertEqual(1, len(sender.executed_ids))
 
         self.with_entries(body)
 
     def test_order_without_key_is_sent_once_and_needs_no_platform(self):
         async def body(store, sender, a, b):
-            store.down = True
+            store.is_down = True
             sender.behaviours = ["lost-after-run"]
-            lost = await a.order(order_fakes.new_request(""))
+            lost = await a.send_order(order_fakes.new_request(""))
             self.assertEqual(("outcome-unknown", "unknown"), lost[:2])
-            self.assertEqual(200, (await a.order(order_fakes.new_request("")))[0])
-            self.assertEqual((2, 0), (len(sender.runs), store.calls.total()))
+            self.assertEqual(200, (await a.send_order(order_fakes.new_request("")))[0])
+            self.assertEqual((2, 0), (len(sender.executed_ids), store.calls.total()))
 
         self.with_entries(body)
 
@@ -134,12 +136,12 @@
         # The caller's connection closes after the order was sent. The valve opens all the same,
         # so the order must go on and a repeat must get its answer.
         async def body(store, sender, a, b):
-            sender.run_s = 5.0
+            sender.processing_s = 5.0
             with trio.move_on_after(1):
-                await a.order(order_fakes.new_request())
+                await a.send_order(order_fakes.new_request())
             await trio.sleep(10)
-            self.assertEqual((200, "ran", b"done"), await b.order(order_fakes.new_request()))
-            self.assertEqual(1, len(sender.runs))
+            self.assertEqual((200, "ran", b"done"), await b.send_order(order_fakes.new_request()))
+            self.assertEqual(1, len(sender.executed_ids))
 
         self.with_entries(body)
 
@@ -161,13 +163,13 @@
             for entry, wait_s in ((a, 0), (b, 0), (a, 1), (b, 10), (a, LONG_S), (b, LONG_S)):
                 await trio.sleep(wait_s)
                 request = order_fakes.new_request()
-                last = await entry.order(request)
-                self.assertLessEqual(len(sender.runs), 1)
+                last = await entry.send_order(request)
+                self.assertLessEqual(len(sender.executed_ids), 1)
                 if last[1] == "did-not-run":
-                    self.assertNotIn(request.request_id, sender.runs)
+                    self.assertNotIn(request.request_id, sender.executed_ids)
             lost = behaviour.startswith("lost")
             self.assertEqual("outcome-unknown" if lost else 200, last[0])
-            self.assertEqual(0 if behaviour == "lost-before-run" else 1, len(sender.runs))
+            self.assertEqual(0 if behaviour == "lost-before-run" else 1, len(sender.executed_ids))
 
         self.with_entries(body)
 
@@ -181,13 +183,13 @@
     def _check_death(self, died_after_s):
         async def body(store, sender, a, b):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(a.order, order_fakes.new_request())
+                nursery.start_soon(a.send_order, order_fakes.new_request())
                 await trio.sleep(died_after_s)
                 a.kill()
             for wait_s in (0, 1, LONG_S):
                 await trio.sleep(wait_s)
-                last = await b.order(order_fakes.new_request())
-                self.assertLessEqual(len(sender.runs), 1)
+                last = await b.send_order(order_fakes.new_request())
+                self.assertLessEqual(len(sender.executed_ids), 1)
             self.assertIn(last[0], (200, "outcome-unknown"))
 
         self.with_entries(body)
@@ -196,27 +198,27 @@
         # Entry "a" claims, is paused for an hour and then sends. Everybody has long taken it for
         # dead, but a claim is never run by another: the order runs once, by "a".
         async def body(store, sender, a, b):
-            sender.run_s = 3600.0
+            sender.processing_s = 3600.0
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(a.order, order_fakes.new_request())
+                nursery.start_soon(a.send_order, order_fakes.new_request())
                 await trio.sleep(60)
-                answer = await b.order(order_fakes.new_request())
+                answer = await b.send_order(order_fakes.new_request())
                 self.assertEqual(("outcome-unknown", "unknown"), answer[:2])
             await trio.sleep(1)
-            self.assertEqual((200, "ran", b"done"), await b.order(order_fakes.new_request()))
-            self.assertEqual(1, len(sender.runs))
+            self.assertEqual((200, "ran", b"done"), await b.send_order(order_fakes.new_request()))
+            self.assertEqual(1, len(sender.executed_ids))
 
         self.with_entries(body)
 
     def test_restarted_entry_knows_that_its_former_process_is_gone(self):
         async def body(store, sender, a, b):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(a.order, order_fakes.new_request())
+                nursery.start_soon(a.send_order, order_fakes.new_request())
                 await trio.sleep(0.05)
                 a.kill()
                 again = order_fakes.new_entry("a", store, sender)
                 await nursery.start(again.run)
-                answer = await again.order(order_fakes.new_request())
+                answer = await again.send_order(order_fakes.new_request())
                 self.assertEqual("outcome-unknown", answer[0])
                 again.kill()
 
@@ -227,12 +229,12 @@
         # caller is told so, and once the service answers again the key can be used at "b" too.
         async def body(store, sender, a, b):
             store.faults.update({1: "lost-answer"} | dict.fromkeys(range(2, 60), "lost-request"))
-            answer = await a.order(order_fakes.new_request())
+            answer = await a.send_order(order_fakes.new_request())
             self.assertEqual(("claim-unavailable", "did-not-run"), answer[:2])
-            self.assertEqual([], sender.runs)
+            self.assertEqual([], sender.executed_ids)
             self.assertTrue(store.items)
             await trio.sleep(LONG_S * 3)
-            self.assertEqual(200, (await b.order(order_fakes.new_request()))[0])
+            self.assertEqual(200, (await b.send_order(order_fakes.new_request()))[0])
 
         self.with_entries(body)
 
@@ -242,11 +244,11 @@
         # repeat must not be told "unknown" for a day about an order that never ran.
         async def body(store, sender, a, b):
             store.faults.update({1: "late"} | dict.fromkeys(range(2, 18), "lost-request"))
-            answer = await a.order(order_fakes.new_request())
+            answer = await a.send_order(order_fakes.new_request())
             self.assertEqual(("claim-unavailable", "did-not-run"), answer[:2])
             await trio.sleep(LONG_S)
-            self.assertEqual(200, (await b.order(order_fakes.new_request()))[0])
-            self.assertEqual(1, len(sender.runs))
+            self.assertEqual(200, (await b.send_order(order_fakes.new_request()))[0])
+            self.assertEqual(1, len(sender.executed_ids))
 
         self.with_entries(body)
 
@@ -256,20 +258,20 @@
         async def body(store, sender, a, b):
             store.faults[1] = "late"
             sender.behaviours = ["not-sent"]
-            self.assertEqual("did-not-run", (await a.order(order_fakes.new_request()))[1])
+            self.assertEqual("did-not-run", (await a.send_order(order_fakes.new_request()))[1])
             await trio.sleep(LONG_S)
-            self.assertEqual(200, (await b.order(order_fakes.new_request()))[0])
+            self.assertEqual(200, (await b.send_order(order_fakes.new_request()))[0])
 
         self.with_entries(body)
 
     def test_entry_claims_anew_over_its_own_abandoned_claim(self):
         async def body(store, sender, a, b):
             store.faults.update({1: "lost-answer"} | dict.fromkeys(range(2, 60), "lost-request"))
-            self.assertEqual("did-not-run", (await a.order(order_fakes.new_request()))[1])
+            self.assertEqual("did-not-run", (await a.send_order(order_fakes.new_request()))[1])
             await trio.sleep(0.02)
             self.assertTrue(store.items)
             store.faults.clear()
-            self.assertEqual(200, (await a.order(order_fakes.new_request()))[0])
+            self.assertEqual(200, (await a.send_order(order_fakes.new_request()))[0])
 
         self.with_entries(body)
 
@@ -277,9 +279,9 @@
         async def body(store, sender, a, b):
             store.faults.update({0: "bug", 2: "bug"})
             with self.assertLogs("toucanhold.orders.running", "ERROR"):
-                answer = await a.order(order_fakes.new_request())
+                answer = await a.send_order(order_fakes.new_request())
             self.assertEqual(("outcome-unknown", "unknown"), answer[:2])
-            self.assertEqual(200, (await a.order(order_fakes.new_request("other")))[0])
+            self.assertEqual(200, (await a.send_order(order_fakes.new_request("other")))[0])
 
         self.with_entries(body)
 
@@ -287,11 +289,11 @@
         async def body(store, sender, a, b):
             sender.behaviours = ["bug"]
             with self.assertLogs("toucanhold.orders.running", "ERROR"):
-                answer = await a.order(order_fakes.new_request())
+                answer = await a.send_order(order_fakes.new_request())
             self.assertEqual(("outcome-unknown", "unknown"), answer[:2])
             await trio.sleep(1)
-            self.assertEqual("outcome-unknown", (await b.order(order_fakes.new_request()))[0])
-            self.assertEqual(1, len(sender.runs))
+            self.assertEqual("outcome-unknown", (await b.send_order(order_fakes.new_request()))[0])
+            self.assertEqual(1, len(sender.executed_ids))
 
         self.with_entries(body)
 
@@ -299,16 +301,16 @@
 class KeptClaimsTest(OrderTest):
     def test_claims_in_the_service_are_bounded_and_age(self):
         async def body(store, sender, a, b):
-            a.keeper.claimed.claims.leases.max_claims = lambda: 3
+            a.order_handler.claimed.claims.leases.max_claims = lambda: 3
             sender.behaviours = ["ok", "not-sent"]
             ends = []
             for number in range(6):
-                ends.append((await a.order(order_fakes.new_request(f"key-{number}")))[0])
+                ends.append((await a.send_order(order_fakes.new_request(f"key-{number}")))[0])
                 await trio.sleep(1)
             refused = ["claim-unavailable"] * 2
             self.assertEqual([200, "no-capacity", 200, 200, *refused], ends)
             await trio.sleep(leases.KEPT_S + 3 * leases.BUCKET_S)
-            self.assertEqual(200, (await a.order(order_fakes.new_request("later")))[0])
+            self.assertEqual(200, (await a.send_order(order_fakes.new_request("later")))[0])
 
         self.with_entries(body)
 
@@ -316,7 +318,7 @@
 class CombiningTest(unittest.TestCase):
     def commit_all(self, commits_wanted):
         """Commit all at once, one more first so that they gather; return the results."""
-        store = order_fakes.FakeKeyValue(items={"taken": keyvalue.Item("taken", b"", 1, 1)})
+        store = order_fakes.FakeKeyValueClient(items={"taken": keyvalue.Item("taken", b"", 1, 1)})
         bucket = limits.TokenBucket(lambda: 1000.0, 100)
         committer = commits.CombiningCommitter(store, bucket, workers=1)
         outcomes = {}
@@ -355,15 +357,15 @@
 class OutageTest(OrderTest):
     def test_outage_refuses_keyed_orders_truthfully(self):
         async def body(store, sender, a, b):
-            store.down = True
+            store.is_down = True
             asked_at_s = trio.current_time()
-            problem, outcome, retry_after_s = await a.order(order_fakes.new_request())
+            problem, outcome, retry_after_s = await a.send_order(order_fakes.new_request())
             self.assertLess(trio.current_time() - asked_at_s, 0.5)
             self.assertEqual(("claim-unavailable", "did-not-run"), (problem, outcome))
             self.assertGreater(retry_after_s, 0)
-            self.assertEqual([], sender.runs)
-            store.down = False
-            self.assertEqual(200, (await b.order(order_fakes.new_request()))[0])
+            self.assertEqual([], sender.executed_ids)
+            store.is_down = False
+            self.assertEqual(200, (await b.send_order(order_fakes.new_request()))[0])
 
         self.with_entries(body)
 
@@ -372,25 +374,27 @@
         # at "a" gets it from memory, at "b" nothing false; after the outage "b" gets it too.
         async def body(store, sender, a, b):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(a.order, order_fakes.new_request())
+                nursery.start_soon(a.send_order, order_fakes.new_request())
                 await trio.sleep(0.05)
-                store.down = True
-            self.assertEqual(200, (await a.order(order_fakes.new_request()))[0])
-            self.assertEqual(1, await a.keeper.finish(limit_s=20))
-            self.assertEqual("claim-unavailable", (await b.order(order_fakes.new_request()))[0])
-            store.down = False
-            self.assertEqual(0, await a.keeper.finish(limit_s=20))
-            self.assertEqual(200, (await b.order(order_fakes.new_request()))[0])
-            self.assertEqual(1, len(sender.runs))
+                store.is_down = True
+            self.assertEqual(200, (await a.send_order(order_fakes.new_request()))[0])
+            self.assertEqual(1, await a.order_handler.finish(limit_s=20))
+            self.assertEqual(
+                "claim-unavailable", (await b.send_order(order_fakes.new_request()))[0]
+            )
+            store.is_down = False
+            self.assertEqual(0, await a.order_handler.finish(limit_s=20))
+            self.assertEqual(200, (await b.send_order(order_fakes.new_request()))[0])
+            self.assertEqual(1, len(sender.executed_ids))
 
         self.with_entries(body)
 
     def test_lease_that_the_platform_lost_is_replaced(self):
         async def body(store, sender, a, b):
-            await a.order(order_fakes.new_request("first"))
+            await a.send_order(order_fakes.new_request("first"))
             await trio.sleep(1)
-            store.lapse(1000)
-            self.assertEqual(200, (await a.order(order_fakes.new_request("second")))[0])
+            store.expire_lease(1000)
+            self.assertEqual(200, (await a.send_order(order_fakes.new_request("second")))[0])
 
         self.with_entries(body)
 
@@ -400,12 +404,12 @@
         run(self._flood)
 
     async def _flood(self):
-        store, sender = order_fakes.FakeKeyValue(), order_fakes.FakeSender()
+        store, sender = order_fakes.FakeKeyValueClient(), order_fakes.FakeDispatcher()
         entry = order_fakes.new_entry("a", store, sender, calls_per_s=2.0)
         answers = []
 
         async def send(number):
-            answers.append(await entry.order(order_fakes.new_request(f"key-{number}")))
+            answers.append(await entry.send_order(order_fakes.new_request(f"key-{number}")))
 
         async with trio.open_nursery() as nursery:
             await nursery.start(entry.run)
@@ -414,7 +418,7 @@
                     callers.start_soon(send, number)
             served = [answer for answer in answers if answer[0] == 200]
             refused = [answer for answer in answers if answer[0] != 200]
-            self.assertEqual(len(served), len(sender.runs))
+            self.assertEqual(len(served), len(sender.executed_ids))
             self.assertTrue(refused)
             self.assertEqual({"did-not-run"}, {answer[1] for answer in refused})
             self.assertTrue(all(answer[2] > 0 for answer in refused))
@@ -424,16 +428,16 @@
         run(self._abandon)
 
     async def _abandon(self):
-        store, sender = order_fakes.FakeKeyValue(), order_fakes.FakeSender()
+        store, sender = order_fakes.FakeKeyValueClient(), order_fakes.FakeDispatcher()
         store.faults = dict.fromkeys(range(1, 100_000), "lost-request")
         entry = order_fakes.new_entry("a", store, sender)
         async with trio.open_nursery() as nursery:
             await nursery.start(entry.run)
             async with trio.open_nursery() as callers:
                 for number in range(claims.MAX_ABANDONED):
-                    callers.start_soon(entry.order, order_fakes.new_request(f"key-{number}"))
+                    callers.start_soon(entry.send_order, order_fakes.new_request(f"key-{number}"))
             before = store.calls["write"]
-            answer = await entry.order(order_fakes.new_request("one more"))
+            answer = await entry.send_order(order_fakes.new_request("one more"))
             self.assertEqual(("claim-unavailable", "did-not-run"), answer[:2])
             self.assertEqual(before, store.calls["write"])
             nursery.cancel_scope.cancel()
--- a/tools/measure/orders.py
+++ b/tools/measure/orders.py
@@ -44,8 +44,8 @@
 class _Site:
     """Entries that share a store and a backend server."""
 
-    store: orders.FakeKeyValue
-    sender: orders.FakeSender
+    store: orders.FakeKeyValueClient
+    sender: orders.FakeDispatcher
     entries: list[orders.FakeEntry]
     nursery: trio.Nursery
 
@@ -53,20 +53,24 @@
         entry = orders.new_entry(name, self.store, self.sender, CLAIM_CALLS_PER_S)
         if way == SINGLE:
             bucket = limits.TokenBucket(lambda: CLAIM_CALLS_PER_S / ENTRIES, 28)
-            claims = entry.keeper.claimed.claims
+            claims = entry.order_handler.claimed.claims
             claims.committer = commits.SingleCommitter(self.store, bucket)
         await self.nursery.start(entry.run)
         for other in self.entries:
-            other.keeper.issued.roster.update_from_peer(entry.keeper.issued.roster.own)
-            entry.keeper.issued.roster.update_from_peer(other.keeper.issued.roster.own)
+            other.order_handler.issued.roster.update_from_peer(
+                entry.order_handler.issued.roster.own
+            )
+            entry.order_handler.issued.roster.update_from_peer(
+                other.order_handler.issued.roster.own
+            )
         self.entries.append(entry)
         return entry
 
 
 async def _with_site(way: str, body: collections.abc.Callable) -> object:
     async with trio.open_nursery() as nursery:
-        store = orders.FakeKeyValue(calls_per_s=PLATFORM_CALLS_PER_S)
-        site = _Site(store, orders.FakeSender(run_s=0.01), [], nursery)
+        store = orders.FakeKeyValueClient(calls_per_s=PLATFORM_CALLS_PER_S)
+        site = _Site(store, orders.FakeDispatcher(processing_s=0.01), [], nursery)
         for number in range(ENTRIES):
             await site.add(f"entry-{number}", way)
         result = await body(site)
@@ -76,7 +80,7 @@
 
 def _key(site: _Site, entry: orders.FakeEntry, way: str, number: int) -> str:
     if way == ISSUED:
-        return entry.issue()
+        return entry.issue_key()
     return "" if way == NO_KEY else f"order-{number}"
 
 
@@ -88,7 +92,7 @@
         entry = rng.choice(site.entries)
         request = orders.new_request(_key(site, entry, way, number), timeout_s=30)
         started_s = trio.current_time()
-        status, outcome, _ = await entry.order(request)
+        status, outcome, _ = await entry.send_order(request)
         ends.append((outcome if status != 200 else "ran", trio.current_time() - started_s))
 
     until_s = trio.current_time() + for_s
@@ -149,11 +153,11 @@
 
 async def _outage_row(way: str, seed: int) -> tuple:
     async def body(site: _Site) -> tuple:
-        site.store.down = True
+        site.store.is_down = True
         rng = random.Random(seed)
         ends = await _offer(site, way, OUTAGE_ORDERS_PER_S, OUTAGE_S, rng)
         count = collections.Counter(outcome for outcome, _ in ends)
-        twice = len(site.sender.runs) - len(set(site.sender.runs))
+        twice = len(site.sender.executed_ids) - len(set(site.sender.executed_ids))
         calls = site.store.calls.total()
         return way, len(ends), count["ran"], count["did-not-run"], count["unknown"], twice, calls
 
@@ -236,15 +240,15 @@
             for number in range(first, first + rng.randrange(1, 30)):
                 site.store.faults[number] = rng.choice(kinds)
         elif fault == "outage":
-            site.store.down = True
+            site.store.is_down = True
             await trio.sleep(rng.uniform(0, 10))
-            site.store.down = False
+            site.store.is_down = False
         else:
             victim = site.entries.pop(rng.randrange(len(site.entries)))
             victim.kill()
-            name = victim.keeper.issued.roster.own.entry
+            name = victim.order_handler.issued.roster.own.entry
             for other in site.entries:
-                other.keeper.issued.roster.forget(name)
+                other.order_handler.issued.roster.forget(name)
             await site.add(name)
     site.store.faults.clear()
 
@@ -263,7 +267,7 @@
     async def order(self, number: int) -> None:
         await trio.sleep(self.rng.uniform(0, FAULT_RUN_S))
         issuer = self.rng.choice(self.site.entries)
-        key = issuer.issue() if self.way == ISSUED else f"order-{number}"
+        key = issuer.issue_key() if self.way == ISSUED else f"order-{number}"
         for _ in range(self.rng.randrange(1, 4)):
             async with trio.open_nursery() as nursery:
                 for _ in range(self.rng.randrange(1, 4)):
@@ -282,15 +286,15 @@
             entry = issuer
         request = orders.new_request(key)
         self.ids[key].add(request.request_id)
-        status, outcome, _ = await entry.order(request)
+        status, outcome, _ = await entry.send_order(request)
         if outcome == requests.Outcome.DID_NOT_RUN.value:
             # Looked up at the end as well: an order that was refused must not run later.
-            self.false += request.request_id in self.site.sender.runs
+            self.false += request.request_id in self.site.sender.executed_ids
             self.ids["refused"].add(request.request_id)
         return "ran" if status == 200 else outcome
 
     def count(self) -> collections.Counter:
-        ran = set(self.site.sender.runs)
+        ran = set(self.site.sender.executed_ids)
         refused = self.ids.pop("refused", set())
         runs_of = {key: len(ids & ran) for key, ids in self.ids.items()}
         return collections.Counter(
@@ -320,21 +324,21 @@
 
 async def _cost_us(way: str) -> float:
     async with trio.open_nursery() as nursery:
-        store = orders.FakeKeyValue(latency_s=0.0)
-        site = _Site(store, orders.FakeSender(run_s=0.0), [], nursery)
+        store = orders.FakeKeyValueClient(latency_s=0.0)
+        site = _Site(store, orders.FakeDispatcher(processing_s=0.0), [], nursery)
         entry = await site.add("entry-0")
-        entry.keeper.claimed.claims.committer.bucket.rate_per_s = lambda: 1e6
+        entry.order_handler.claimed.claims.committer.bucket.rate_per_s = lambda: 1e6
         keys = iter([_key(site, entry, way, number) for number in range(COST_ORDERS)])
 
         async def send() -> None:
             for key in keys:
-                await entry.order(orders.new_request(key))
+                await entry.send_order(orders.new_request(key))
 
         started_s = time.process_time()
         async with trio.open_nursery() as callers:
             for _ in range(20):
                 callers.start_soon(send)
-        await entry.keeper.runner.wait_idle(10)
+        await entry.order_handler.runner.wait_idle(10)
         took_s = time.process_time() - started_s
         nursery.cancel_scope.cancel()
     return 1e6 * took_s / COST_ORDERS
