--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Starts, pauses, kills and stops the processes of a site, by their own ids."""
+"""Starts, pauses, kills and stops the processes of a site by name."""
 
 import collections.abc
 import os
@@ -17,14 +17,14 @@
 
 
 class ProcessError(Exception):
-    """A process did not start, or ended when it should not have."""
+    """A process did not start or ended unexpectedly."""
 
 
 @attrs.define(eq=False)
 class ProcessGroup:
-    """Processes by name; all are ended when the context is left.
+    """Processes by name, as a context manager that kills them all at its end.
 
-    :ivar log_folder: each process's stderr goes to ``NAME.log`` there
+    :ivar log_folder: folder of the log files; ``NAME.log`` holds a process's stdout and stderr
     """
 
     log_folder: pathlib.Path
@@ -44,7 +44,10 @@
         arguments: collections.abc.Sequence[str],
         variables: collections.abc.Mapping[str, str] | None = None,
     ) -> None:
-        """Start ``python -m ARGUMENTS``."""
+        """Start ``python -m ARGUMENTS``.
+
+        :param variables: environment variables in addition to this process's own
+        """
         log = (self.log_folder / f"{name}.log").open("ab")
         with log:
             self._running[name] = await trio.lowlevel.open_process(
@@ -56,25 +59,28 @@
             )
 
     def pause(self, name: str) -> None:
-        """Stop a process's clock."""
+        """Suspend a process with ``SIGSTOP``."""
         self._running[name].send_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Let a paused process go on."""
+        """Resume a suspended process."""
         self._running[name].send_signal(signal.SIGCONT)
 
     async def kill(self, name: str) -> None:
-        """End a process without warning."""
+        """Kill a process with ``SIGKILL`` and wait for its end."""
         process = self._running.pop(name)
         process.kill()
         await process.wait()
 
     def terminate(self, name: str) -> None:
-        """Ask a process to stop; see :meth:`stop`, which may ask once more."""
+        """Send ``SIGTERM`` without waiting; :meth:`stop` may send it again later."""
         self._running[name].terminate()
 
     async def stop(self, name: str) -> int:
-        """Ask a process to stop and return its exit status."""
+        """Send ``SIGTERM`` and return the process's exit status.
+
+        :raises trio.TooSlowError: when the process runs on for ``STOP_TIMEOUT_S`` seconds
+        """
         process = self._running.pop(name)
         process.terminate()
         with trio.fail_after(STOP_TIMEOUT_S):
@@ -91,28 +97,31 @@
         return self._running[name].pid
 
     def is_running(self, name: str) -> bool:
-        """Tell whether a process is there."""
+        """Return whether a process was started and has not ended."""
         return name in self._running and self._running[name].poll() is None
 
     def log_text(self, name: str) -> str:
-        """Return what a process has logged."""
+        """Return the contents of a process's log file."""
         return (self.log_folder / f"{name}.log").read_text(errors="replace")
 
 
 def free_addresses(count: int) -> list[str]:
-    """Return addresses on the loopback interface that nothing listens on."""
-    held = []
+    """Return distinct free ``IP:port`` addresses on the loopback interface."""
+    sockets = []
     for _ in range(count):
-        held.append(socket.socket())
-        held[-1].bind(("127.0.0.1", 0))
-    addresses = [f"127.0.0.1:{each.getsockname()[1]}" for each in held]
-    for each in held:
+        sockets.append(socket.socket())
+        sockets[-1].bind(("127.0.0.1", 0))
+    addresses = [f"127.0.0.1:{each.getsockname()[1]}" for each in sockets]
+    for each in sockets:
         each.close()
     return addresses
 
 
 async def wait_listening(address: str) -> None:
-    """Return when something accepts connections at ``address``."""
+    """Wait until a process accepts connections at ``address``.
+
+    :raises ProcessError: after ``START_TIMEOUT_S`` seconds
+    """
     host, _, port = address.rpartition(":")
     deadline = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < deadline:
@@ -123,4 +132,4 @@
             continue
         await stream.aclose()
         return
-    raise ProcessError(f"nothing listens on {address}")
+    raise ProcessError(f"nothing listens on {address} after {START_TIMEOUT_S} s")
--- a/standins/site.py
+++ b/standins/site.py
@@ -1,4 +1,4 @@
-"""A whole site as separate processes: stand-ins and entries, for the demo and for tests."""
+"""Runs a whole site, stand-ins and entries, as separate processes for the demo and for tests."""
 
 import collections.abc
 import contextlib
@@ -14,13 +14,17 @@
 
 OPERATOR_TOKEN = "stand-in-operator-token"
 PEER_KEY = "stand-in-peer-key-0000"
-KEYVALUE = "keyvalue"
+KEYVALUE_PROCESS = "keyvalue"
 CALL_TIMEOUT_S = 30.0
 
 
 @attrs.frozen
 class VmSpec:
-    """A VM of the site: an engine in a fabric domain, or a plain service's server."""
+    """A VM of the site: an engine in a fabric domain, or the server of a plain service.
+
+    :ivar address: ``IP:port`` of its backend server
+    :ivar service: name of the plain service; empty for an engine
+    """
 
     vm: str
     availability_zone: str
@@ -31,7 +35,12 @@
 
 @attrs.frozen
 class EntrySpec:
-    """An entry's name and addresses."""
+    """An entry's name and addresses.
+
+    :ivar callers: ``IP:port`` for callers
+    :ivar operators: ``IP:port`` for operators
+    :ivar peers: ``IP:port`` for other entries
+    """
 
     entry: str
     availability_zone: str
@@ -42,40 +51,45 @@
 
 @attrs.frozen
 class Response:
-    """An HTTP answer read to its end."""
+    """A complete HTTP response.
+
+    :ivar headers: headers by lower-case name
+    """
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def json(self):
-        """Return the decoded body."""
+        """Return the body decoded from JSON."""
         return json.loads(self.body)
 
 
 @attrs.define(eq=False)
 class Site:
-    """Processes, addresses, and calls to them.
-
-    :ivar engine_options: further words for the engine stand-ins
-    :ivar service_options: further words for the service stand-ins
-    :ivar entry_variables: further environment variables of entries
-    :ivar one_process: run all engines in one process; such a site has no plain services
+    """The processes of a site and their addresses, with methods to call them.
+
+    :ivar process_group: the processes by name
+    :ivar engine_options: further command-line arguments of the engine stand-ins
+    :ivar service_options: further command-line arguments of the service stand-ins
+    :ivar entry_variables: further environment variables of the entries
+    :ivar is_one_engine_process: whether one process runs all engines; such a site has no plain
+        services
     """
 
-    group: processes.ProcessGroup
+    process_group: processes.ProcessGroup
     vms: tuple[VmSpec, ...]
     entries: tuple[EntrySpec, ...]
     keyvalue_address: str
     engine_options: tuple[str, ...] = ()
     service_options: tuple[str, ...] = ()
     entry_variables: dict[str, str] = attrs.field(factory=dict)
-    one_process: bool = False
+    is_one_engine_process: bool = False
 
     async def start(self) -> None:
-        """Start everything and wait until it listens."""
+        """Start all processes and wait until they listen."""
         await self.start_keyvalue()
-        if self.one_process:
+        if self.is_one_engine_process:
             await self._start_engines_together()
         else:
             for vm in self.vms:
@@ -90,8 +104,8 @@
 
     async def start_keyvalue(self) -> None:
         """Start the key-value stand-in."""
-        words = ["standins", "keyvalue", "--address", self.keyvalue_address]
-        await self.group.start(KEYVALUE, words)
+        arguments = ["standins", "keyvalue", "--address", self.keyvalue_address]
+        await self.process_group.start(KEYVALUE_PROCESS, arguments)
         await processes.wait_listening(self.keyvalue_address)
 
     async def start_vm(self, name: str) -> None:
@@ -99,18 +113,18 @@
         vm = self.vm(name)
         kind = "service" if vm.service else "engine"
         options = self.service_options if vm.service else self.engine_options
-        words = ["standins", kind, "--vm", vm.vm, "--address", vm.address, *options]
-        await self.group.start(vm.vm, words)
+        arguments = ["standins", kind, "--vm", vm.vm, "--address", vm.address, *options]
+        await self.process_group.start(vm.vm, arguments)
 
     async def _start_engines_together(self) -> None:
-        words = ["standins", "engine", *self.engine_options]
+        arguments = ["standins", "engine", *self.engine_options]
         for vm in self.vms:
-            words += ["--server", f"{vm.vm}={vm.address}"]
-        await self.group.start("engines", words)
+            arguments += ["--server", f"{vm.vm}={vm.address}"]
+        await self.process_group.start("engines", arguments)
 
     async def start_entry(self, name: str) -> None:
         """Start an entry."""
-        await self.group.start(name, ["toucanhold", "entry"], self.variables_of(name))
+        await self.process_group.start(name, ["toucanhold", "entry"], self.environment_of(name))
 
     def vm(self, name: str) -> VmSpec:
         """Return a VM by name."""
@@ -120,16 +134,16 @@
         """Return an entry by name."""
         return next(each for each in self.entries if each.entry == name)
 
-    def variables_of(self, name: str) -> dict[str, str]:
+    def environment_of(self, name: str) -> dict[str, str]:
         """Return an entry's settings as environment variables."""
-        own = self.entry(name)
+        spec = self.entry(name)
         peers = ",".join(each.peers for each in self.entries if each.entry != name)
         return {
-            "TOUCANHOLD_ENTRY": own.entry,
-            "TOUCANHOLD_AVAILABILITY_ZONE": own.availability_zone,
-            "TOUCANHOLD_CALLERS_ADDRESS": own.callers,
-            "TOUCANHOLD_OPERATORS_ADDRESS": own.operators,
-            "TOUCANHOLD_PEERS_ADDRESS": own.peers,
+            "TOUCANHOLD_ENTRY": spec.entry,
+            "TOUCANHOLD_AVAILABILITY_ZONE": spec.availability_zone,
+            "TOUCANHOLD_CALLERS_ADDRESS": spec.callers,
+            "TOUCANHOLD_OPERATORS_ADDRESS": spec.operators,
+            "TOUCANHOLD_PEERS_ADDRESS": spec.peers,
             "TOUCANHOLD_PEERS": peers,
             "TOUCANHOLD_PLATFORM_URL": f"http://{self.keyvalue_address}",
             "TOUCANHOLD_OPERATOR_TOKEN": OPERATOR_TOKEN,
@@ -138,20 +152,25 @@
             **self.entry_variables,
         }
 
-    async def operate(self, name: str, method: str, path: str, body: object = None) -> Response:
-        """Call an entry's operators' interface."""
+    async def call_operators(
+        self, name: str, method: str, path: str, body: object = None
+    ) -> Response:
+        """Send a request to the operators' interface of an entry."""
         headers = {"authorization": f"Bearer {OPERATOR_TOKEN}"}
         url = f"http://{self.entry(name).operators}/operators/v1/{path}"
         return await call(method, url, body, headers)
 
     async def status(self, name: str) -> dict:
         """Return an entry's status."""
-        return (await self.operate(name, "GET", "status")).json()
+        return (await self.call_operators(name, "GET", "status")).json()
 
     async def wait_status(
         self, name: str, predicate: collections.abc.Callable[[dict], bool], timeout_s: float = 15
     ) -> dict:
-        """Return the status once ``predicate`` holds."""
+        """Return the status of an entry once ``predicate`` holds for it.
+
+        :raises trio.TooSlowError: after ``timeout_s`` seconds
+        """
         with trio.fail_after(timeout_s):
             while True:
                 with contextlib.suppress(httpcore.NetworkError, httpcore.TimeoutException):
@@ -169,7 +188,12 @@
     services_per_zone: int,
     entries: int,
 ) -> Site:
-    """Return a site that is not started; each availability zone is one fabric domain."""
+    """Return a site that is not started; each availability zone is one fabric domain.
+
+    :param folder: folder of the log files
+    :param service: name of the plain service
+    :param entries: number of entries
+    """
     counts = len(zones) * (engines_per_zone + services_per_zone)
     addresses = iter(processes.free_addresses(counts + 3 * entries + 1))
     vms = []
@@ -183,12 +207,15 @@
         EntrySpec(f"entry-{number}", zones[number % len(zones)], *[next(addresses) for _ in "123"])
         for number in range(entries)
     )
-    group = processes.ProcessGroup(folder)
-    return Site(group, tuple(vms), specs, next(addresses))
+    process_group = processes.ProcessGroup(folder)
+    return Site(process_group, tuple(vms), specs, next(addresses))
 
 
 def document_for(site: Site, services: collections.abc.Sequence[dict]) -> dict:
-    """Return inventory and rules for a site in the operators' form."""
+    """Return the inventory and rules of a site as an operators' document.
+
+    :param services: services in the document's format
+    """
     vms = [
         {
             "vm": vm.vm,
@@ -215,14 +242,14 @@
 
 @contextlib.asynccontextmanager
 async def running(site: Site) -> collections.abc.AsyncIterator[Site]:
-    """Start a site and end all of it afterwards."""
-    async with site.group:
+    """Start a site and kill all of its processes afterwards."""
+    async with site.process_group:
         await site.start()
         yield site
 
 
 def log_folder() -> pathlib.Path:
-    """Return a new folder for logs."""
+    """Return a new temporary folder for log files."""
     return pathlib.Path(tempfile.mkdtemp(prefix="toucanhold-"))
 
 
@@ -232,16 +259,16 @@
     body: object = None,
     headers: collections.abc.Mapping[str, str] | None = None,
 ) -> Response:
-    """Send one request on its own connection and read the whole answer.
+    """Send one request on its own connection and read the complete response.
 
-    :raises httpcore.RemoteProtocolError: when the answer is cut
+    :raises httpcore.RemoteProtocolError: when the connection ends before the response does
     """
     content = b"" if body is None else json.dumps(body).encode()
-    lines = {"content-type": "application/json", **(headers or {})}
+    request_headers = {"content-type": "application/json", **(headers or {})}
     timeouts = dict.fromkeys(("connect", "write", "read", "pool"), CALL_TIMEOUT_S)
     async with httpcore.AsyncConnectionPool(retries=0) as pool:
-        answer = await pool.request(
-            method, url, headers=lines, content=content, extensions={"timeout": timeouts}
+        response = await pool.request(
+            method, url, headers=request_headers, content=content, extensions={"timeout": timeouts}
         )
-    found = {key.decode().lower(): value.decode() for key, value in answer.headers}
-    return Response(answer.status, found, answer.content)
+    response_headers = {key.decode().lower(): value.decode() for key, value in response.headers}
+    return Response(response.status, response_headers, response.content)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -130,7 +130,7 @@
         async with sites.running(site):
             document = sites.document_for(site, demo.SERVICES)
             document["rules"]["services"][0]["replicas"] = 2
-            file = site.group.log_folder / "site.json"
+            file = site.process_group.log_folder / "site.json"
             file.write_text(json.dumps(document))
             code, out, err = await self._run(site, "apply", str(file), "--expected", "0")
             self.assertEqual((0, "configuration 1"), (code, out.strip()), err)
@@ -167,13 +167,13 @@
         async with sites.running(site):
             document = sites.document_for(site, demo.SERVICES)
             body = {"document": document, "expected": 0}
-            await site.operate("entry-0", "PUT", "document", body)
+            await site.call_operators("entry-0", "PUT", "document", body)
             for each in site.entries:
                 await site.wait_status(each.entry, lambda seen: seen["configuration"] == 1)
             await site.wait_status(
                 "entry-0", lambda seen: all(each["configuration"] == 1 for each in seen["entries"])
             )
-            await site.group.kill(sites.KEYVALUE)
+            await site.process_group.kill(sites.KEYVALUE_PROCESS)
             code, _, err = await self._run(site, "zone", "out", "zone-a", "--yes")
             self.assertEqual(exitstatus.ExitStatus.NOT_DURABLE, code, err)
             self.assertIn("in force on entry-0, entry-1", err)
--- a/tests/test_cold_site.py
+++ b/tests/test_cold_site.py
@@ -22,7 +22,7 @@
         service = {"name": "drafts", "model": "writer", "version": "1", "replicas": 3}
         async with sites.running(site):
             body = {"document": sites.document_for(site, [service]), "expected": 0}
-            await site.operate("entry-0", "PUT", "document", body)
+            await site.call_operators("entry-0", "PUT", "document", body)
             for each in site.entries:
                 await site.wait_status(each.entry, _all_are_serving)
             statuses = []
@@ -32,7 +32,7 @@
                         for _ in range(4):
                             nursery.start_soon(_send_repeatedly, each.callers, statuses)
                     await trio.sleep(5)
-                    await site.group.kill(ENGINES[0])
+                    await site.process_group.kill(ENGINES[0])
                     await trio.sleep(0.5)
                     await site.start_vm(ENGINES[0])
             await trio.sleep(0.5)
--- a/tests/test_holds.py
+++ b/tests/test_holds.py
@@ -12,11 +12,11 @@
 
 async def take_out(site, name, zone="zone-a", **fields):
     path = f"availability-zones/{zone}"
-    return await site.operate(name, "PUT", path, {"out": True, **fields})
+    return await site.call_operators(name, "PUT", path, {"out": True, **fields})
 
 
 async def give_back(site, name, zone="zone-a"):
-    return await site.operate(name, "PUT", f"availability-zones/{zone}", {"out": False})
+    return await site.call_operators(name, "PUT", f"availability-zones/{zone}", {"out": False})
 
 
 def zones_out(site, name):
@@ -45,7 +45,9 @@
                     answer = await site.request(name, "POST", "/v1/chat/completions", chat)
                     self.assertEqual(200, answer.status)
             addresses = {
-                each.address for each in site.backends.forwarded if each.at_s >= start_s + 0.1
+                each.address
+                for each in site.backends.received_requests
+                if each.received_at_s >= start_s + 0.1
             }
             self.assertEqual({"127.0.0.1:11"}, addresses)
 
@@ -173,7 +175,9 @@
         async with support.running() as site:
             body = support.document()
             body["rules"]["availability_zones"][0]["drainable"] = False
-            await site.operate("entry-0", "PUT", "document", {"document": body, "expected": 0})
+            await site.call_operators(
+                "entry-0", "PUT", "document", {"document": body, "expected": 0}
+            )
             await trio.sleep(2)
             answer = await take_out(site, "entry-0")
             self.assertEqual((409, "not-drainable"), (answer.status, answer.json()["kind"]))
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -43,7 +43,7 @@
         # hears from the others again it goes on.
         async with test_revisions.running() as site:
             await serving_site(site)
-            site.backends.delay_s = 5
+            site.backends.response_delay_s = 5
             async with trio.open_nursery() as nursery:
                 answers = []
 
@@ -57,7 +57,7 @@
                 await trio.sleep(3)
                 await self.assert_refuses(site, "entry-2")
             self.assertEqual([200], [answer.status for answer in answers])
-            site.backends.delay_s = 0
+            site.backends.response_delay_s = 0
             await self.assert_serves(site, "entry-0", "entry-1")
             site.network.heal()
             await trio.sleep(5)
@@ -70,7 +70,7 @@
         async with test_revisions.running() as site:
             await test_revisions.apply(site, replicas=1)
             await trio.sleep(10)
-            site.backends.delay_s = 8
+            site.backends.response_delay_s = 8
             async with trio.open_nursery() as nursery:
                 for _ in range(48):
                     nursery.start_soon(chat, site, "entry-2")
@@ -205,16 +205,16 @@
             document["rules"]["services"][0]["replicas"] = 2
             document["rules"]["services"] = document["rules"]["services"][:1]
             body = {"document": document, "expected": 0}
-            await site.operate("entry-0", "PUT", "document", body)
+            await site.call_operators("entry-0", "PUT", "document", body)
             await site.wait_status("entry-2", lambda seen: seen["services"][0]["serving"] == 2)
-            site.group.pause("entry-2")
+            site.process_group.pause("entry-2")
             await trio.sleep(2.5)
-            await site.operate("entry-0", "PUT", "availability-zones/zone-a", {"out": True})
-            site.group.resume("entry-2")
+            await site.call_operators("entry-0", "PUT", "availability-zones/zone-a", {"out": True})
+            site.process_group.resume("entry-2")
             async with trio.open_nursery() as nursery:
                 for _ in range(10):
                     nursery.start_soon(self._chat, site)
-            routed = [line for line in site.group.log_text("entry-2").splitlines()]
+            routed = [line for line in site.process_group.log_text("entry-2").splitlines()]
             routed = [line for line in routed if "REQUEST_ROUTED" in line or '"event":2001' in line]
             self.assertFalse([line for line in routed if "vm-zone-a" in line])
 
--- a/tests/test_operators_racing.py
+++ b/tests/test_operators_racing.py
@@ -112,6 +112,6 @@
             body = support.document()
             body["inventory"]["vms"][1]["availability_zone"] = "nowhere"
             change = {"document": body, "expected": 0}
-            answer = await site.operate("entry-0", "PUT", "document", change)
+            answer = await site.call_operators("entry-0", "PUT", "document", change)
             self.assertEqual((422, "invalid"), (answer.status, answer.json()["kind"]))
             self.assertEqual(0, site.app("entry-0").configuration.current.number)
--- a/tests/test_orders_path.py
+++ b/tests/test_orders_path.py
@@ -27,7 +27,7 @@
     async with sites.running(site):
         document = sites.document_for(site, SERVICES)
         body = {"document": document, "expected": 0}
-        answer = await site.operate("entry-0", "PUT", "document", body)
+        answer = await site.call_operators("entry-0", "PUT", "document", body)
         assert answer.status == 200, answer.body
         for each in site.entries:
             await site.wait_status(each.entry, _serves)
@@ -67,7 +67,7 @@
             other = await publish(site, "entry-1", "one", "another release")
             self.assertEqual((422, "did-not-run"), (other.status, other.json()["outcome"]))
             await self._kill_in_the_middle(site)
-            await site.group.kill(sites.KEYVALUE)
+            await site.process_group.kill(sites.KEYVALUE_PROCESS)
             refused = await publish(site, "entry-1", "three")
             self.assertEqual((503, "did-not-run"), (refused.status, refused.json()["outcome"]))
             self.assertEqual(["one", "two"], await runs(site))
@@ -81,7 +81,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(send)
             await trio.sleep(0.2)
-            await site.group.kill("entry-0")
+            await site.process_group.kill("entry-0")
         await trio.sleep(0.5)
         repeat = await publish(site, "entry-1", "two")
         self.assertEqual("unknown", repeat.json()["outcome"])
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -95,7 +95,7 @@
         async with sites.running(site):
             document = sites.document_for(site, SERVICES)
             body = {"document": document, "expected": 0}
-            await site.operate("entry-0", "PUT", "document", body)
+            await site.call_operators("entry-0", "PUT", "document", body)
             for each in site.entries:
                 await site.wait_status(each.entry, _all_serve)
             async with trio.open_nursery() as nursery:
@@ -114,9 +114,9 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._long_stream, entry.callers)
             await trio.sleep(0.3)
-            site.group.terminate(entry.entry)
+            site.process_group.terminate(entry.entry)
             await trio.sleep(0.2)
-            self.assertEqual(0, await site.group.stop(entry.entry))
+            self.assertEqual(0, await site.process_group.stop(entry.entry))
         await site.start_entry(entry.entry)
         await site.wait_status(entry.entry, _all_serve)
 
--- a/tests/test_poisoned_records.py
+++ b/tests/test_poisoned_records.py
@@ -33,7 +33,7 @@
         site = sites.new_site(sites.log_folder(), ("zone-a", "zone-b"), 2, "releases", 1, 2)
         async with sites.running(site):
             body = {"document": sites.document_for(site, demo.SERVICES), "expected": 0}
-            await site.operate("entry-0", "PUT", "document", body)
+            await site.call_operators("entry-0", "PUT", "document", body)
             for each in site.entries:
                 await site.wait_status(each.entry, lambda seen: seen["services"] != [])
                 await site.wait_status(each.entry, lambda seen: seen["services"][0]["serving"] == 2)
@@ -42,7 +42,10 @@
                     await self._put(site, key, value)
                 await trio.sleep(0.3)
             for each in site.entries:
-                self.assertTrue(site.group.is_running(each.entry), site.group.log_text(each.entry))
+                self.assertTrue(
+                    site.process_group.is_running(each.entry),
+                    site.process_group.log_text(each.entry),
+                )
                 answer = await self._chat(each.callers)
                 self.assertEqual(200, answer.status, answer.body)
                 status = await site.status(each.entry)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -26,7 +26,7 @@
                 document = sites.document_for(site, demo.SERVICES)
                 document["rules"]["services"][0]["replicas"] = 2
                 body = {"document": document, "expected": 0}
-                answer = await site.operate("entry-0", "PUT", "document", body)
+                answer = await site.call_operators("entry-0", "PUT", "document", body)
                 self.assertEqual(200, answer.status, answer.body)
                 for each in site.entries:
                     await site.wait_status(each.entry, _all_serve)
@@ -46,7 +46,7 @@
             for name in ("entry-1", "entry-2"):
                 nursery.start_soon(_stream, site, name, ends)
             await trio.sleep(1)
-            await site.group.kill("entry-1")
+            await site.process_group.kill("entry-1")
         self.assertIsInstance(ends["entry-1"], Exception)
         self.assertTrue(ends["entry-2"].body.endswith(b"data: [DONE]\n\n"))
         await site.start_entry("entry-1")
@@ -66,14 +66,14 @@
             answers.append(await sites.call("GET", url))
 
         async with trio.open_nursery() as nursery:
-            site.group.pause("entry-1")
+            site.process_group.pause("entry-1")
             for _ in range(4):
                 nursery.start_soon(look_up)
             out = {"out": True}
-            answer = await site.operate("entry-0", "PUT", "availability-zones/zone-a", out)
+            answer = await site.call_operators("entry-0", "PUT", "availability-zones/zone-a", out)
             self.assertEqual(200, answer.status, answer.body)
             await trio.sleep(6)
-            site.group.resume("entry-1")
+            site.process_group.resume("entry-1")
         self.assertEqual(4, len(answers))
         for answer in answers:
             if answer.status == 200:
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -56,7 +56,7 @@
 
 async def apply(site, name="entry-0", expected=0, replicas=1):
     body = {"document": document(replicas), "expected": expected}
-    return await site.operate(name, "PUT", "document", body)
+    return await site.call_operators(name, "PUT", "document", body)
 
 
 class RevisionsTest(unittest.TestCase):
@@ -116,7 +116,7 @@
             await apply(site)
             await trio.sleep(3)
             for name in NAMES:
-                status = (await site.operate(name, "GET", "status")).json()
+                status = (await site.call_operators(name, "GET", "status")).json()
                 numbers = {each["entry"]: each["configuration"] for each in status["entries"]}
                 self.assertEqual(dict.fromkeys(NAMES, 1), numbers)
 
@@ -132,7 +132,7 @@
             await trio.sleep(3)
             self.assertEqual(2, site.app("entry-2").configuration.current.number)
             zone = {"out": True}
-            answer = await site.operate("entry-0", "PUT", "availability-zones/zone-b", zone)
+            answer = await site.call_operators("entry-0", "PUT", "availability-zones/zone-b", zone)
             self.assertEqual(200, answer.status)
             site.platform.set_mode("up", "entry-2")
             await trio.sleep(5)
@@ -149,7 +149,7 @@
             await apply(site)
             await trio.sleep(3)
             site.platform.set_mode("silent")
-            site.entries["entry-2"].stop_asked.set()
+            site.entries["entry-2"].stop_requested.set()
             await trio.sleep(0.05)
             answer = await site.request("entry-0", "GET", "/toucanhold/v1/addresses")
             addresses = [each["address"] for each in answer.json()["addresses"]]
--- a/tests/test_stream_site.py
+++ b/tests/test_stream_site.py
@@ -21,7 +21,7 @@
         service = {"name": "drafts", "model": "writer", "version": "1", "replicas": 2}
         async with sites.running(site):
             body = {"document": sites.document_for(site, [service]), "expected": 0}
-            await site.operate("entry-0", "PUT", "document", body)
+            await site.call_operators("entry-0", "PUT", "document", body)
             await site.wait_status("entry-0", _both_serve)
             await self._cut(site)
             await self._leave(site)
--- a/tests/test_suspects_path.py
+++ b/tests/test_suspects_path.py
@@ -24,7 +24,7 @@
         async with sites.running(site):
             document = sites.document_for(site, SERVICES)
             body = {"document": document, "expected": 0}
-            await site.operate("entry-0", "PUT", "document", body)
+            await site.call_operators("entry-0", "PUT", "document", body)
             for each in site.entries:
                 await site.wait_status(each.entry, _all_are_serving)
             outcomes = []
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -21,16 +21,16 @@
             document = sites.document_for(site, demo.SERVICES)
             document["rules"]["services"][0]["replicas"] = 2
             body = {"document": document, "expected": 0}
-            answer = await site.operate("entry-1", "PUT", "document", body)
+            answer = await site.call_operators("entry-1", "PUT", "document", body)
             self.assertEqual(200, answer.status, answer.body)
             await site.wait_status("entry-0", lambda seen: _serving(seen, SERVICE) == 2)
-            seen = await site.operate("entry-0", "GET", "preview?without=zone-a")
+            seen = await site.call_operators("entry-0", "GET", "preview?without=zone-a")
             self.assertTrue(seen.json()["falls_short"], seen.body)
             answer = await self._chat(site.entries[0].callers)
             self.assertEqual(200, answer.status, answer.body)
             self.assertTrue(answer.body.endswith(b"data: [DONE]\n\n"), answer.body)
             for each in site.entries:
-                self.assertEqual(0, await site.group.stop(each.entry))
+                self.assertEqual(0, await site.process_group.stop(each.entry))
 
     async def _chat(self, address: str) -> sites.Response:
         body = {
--- a/tools/capacity/running.py
+++ b/tools/capacity/running.py
@@ -49,7 +49,7 @@
 
 async def _use_of_one_entry(vms: int, entries: int) -> Usage:
     site = sites.new_site(sites.log_folder(), ZONES, vms // len(ZONES), "releases", 0, entries)
-    site.one_process = True
+    site.is_one_engine_process = True
     service = {
         "name": "drafts",
         "model": "writer",
@@ -59,12 +59,12 @@
     }
     async with sites.running(site):
         body = {"document": sites.document_for(site, [service]), "expected": 0}
-        await site.operate("entry-0", "PUT", "document", body)
+        await site.call_operators("entry-0", "PUT", "document", body)
         await site.wait_status("entry-0", _all_serving, 60)
         await trio.sleep(SETTLE_S)
         # Another than the planner where there is one: planning is measured apart.
         name = f"entry-{entries - 1}"
-        return await _use(site.group.pid(name))
+        return await _use(site.process_group.pid(name))
 
 
 def _all_serving(status: dict) -> bool:
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -48,11 +48,14 @@
         await _lose_a_vm(site, address)
         await _drain_and_return(site, address)
         for each in site.entries:
-            _expect(await site.group.stop(each.entry) == 0, f"{each.entry} stopped, exit status 0")
+            _expect(
+                await site.process_group.stop(each.entry) == 0,
+                f"{each.entry} stopped, exit status 0",
+            )
 
 
 async def _apply(site: sites.Site) -> None:
-    file = site.group.log_folder / "site.json"
+    file = site.process_group.log_folder / "site.json"
     file.write_text(json.dumps(sites.document_for(site, SERVICES)))
     await _operate(site, "check", str(file))
     await _operate(site, "apply", str(file))
@@ -109,7 +112,7 @@
 async def _lose_a_vm(site: sites.Site, address: str) -> None:
     status = await site.status("entry-0")
     group = status["groups"][0]
-    await site.group.kill(group["members"][1])
+    await site.process_group.kill(group["members"][1])
     _step(f"{group['members'][1]} of group {group['group']} was killed")
     for each in site.entries:
         await site.wait_status(
--- a/tools/measure/departure.py
+++ b/tools/measure/departure.py
@@ -146,7 +146,7 @@
     site.service_options = ("--warm", "--slots", "16")
     async with sites.running(site):
         body = {"document": sites.document_for(site, [MODEL, PLAIN]), "expected": 0}
-        await site.operate("entry-0", "PUT", "document", body)
+        await site.call_operators("entry-0", "PUT", "document", body)
         for each in site.entries:
             await site.wait_status(each.entry, _all_serving, 30)
         load, stop = Load(site, random.Random(seed)), trio.Event()
@@ -167,11 +167,11 @@
     load.phase = "out"
     commanded = datetime.datetime.now(datetime.UTC)
     path = f"availability-zones/{ZONES[1]}"
-    await site.operate("entry-3", "PUT", path, {"out": True})
+    await site.call_operators("entry-3", "PUT", path, {"out": True})
     await trio.sleep(OUT_S)
     last_s = _last_new_work_s(site, ZONES[1], commanded)
     load.phase = "after"
-    await site.operate("entry-5", "PUT", path, {"out": False})
+    await site.call_operators("entry-5", "PUT", path, {"out": False})
     await trio.sleep(AFTER_S)
     return f"{ZONES[1]} got its last new work {last_s:.3f} s after the operator's command."
 
@@ -180,7 +180,7 @@
     load.phase = "replacing"
     statuses = []
     for each in site.entries:
-        statuses.append(await site.group.stop(each.entry))
+        statuses.append(await site.process_group.stop(each.entry))
         await site.start_entry(each.entry)
         await site.wait_status(each.entry, _all_serving, 30)
     return f"Exit statuses {sorted(set(statuses))}."
@@ -190,7 +190,7 @@
     vms = {vm.vm for vm in site.vms if vm.availability_zone == zone}
     last_s = 0.0
     for each in site.entries:
-        for line in site.group.log_text(each.entry).splitlines():
+        for line in site.process_group.log_text(each.entry).splitlines():
             fields = json.loads(line) if line.startswith("{") else {}
             if fields.get("name") == "REQUEST_ROUTED" and fields["vm"] in vms:
                 at = datetime.datetime.fromisoformat(fields["time"])
--- a/tools/measure/routing_cost.py
+++ b/tools/measure/routing_cost.py
@@ -48,9 +48,9 @@
     site.service_options = ("--warm", "--slots", "80")
     async with sites.running(site):
         body = {"document": sites.document_for(site, [SERVICE, PLAIN]), "expected": 0}
-        await site.operate("entry-0", "PUT", "document", body)
+        await site.call_operators("entry-0", "PUT", "document", body)
         await site.wait_status("entry-0", lambda seen: _serving(seen) >= ENGINES)
-        pid = site.group.pid("entry-0")
+        pid = site.process_group.pid("entry-0")
         idle = await _idle_part(pid)
         rows = [await _stream_row(site.entries[0].callers, pid, count, idle) for count in STREAMS]
         cost_us = await _plain_cost_us(site.entries[0].callers, pid, idle)
--- a/tools/measure/state.py
+++ b/tools/measure/state.py
@@ -38,7 +38,7 @@
     site.entry_variables["TOUCANHOLD_SEED"] = str(seed)
     async with sites.running(site):
         body = {"document": sites.document_for(site, ()), "expected": 0}
-        await site.operate("entry-0", "PUT", "document", body)
+        await site.call_operators("entry-0", "PUT", "document", body)
         await trio.sleep(5)
         idle = await _calls_during(site, trio.sleep, IDLE_S)
         rows = []
@@ -69,16 +69,16 @@
 
 async def _delays(site: sites.Site, name: str, out: bool, event: int) -> list[float]:
     """Return for each entry the time from the operator's call to its log line."""
-    before = {each.entry: len(site.group.log_text(each.entry)) for each in site.entries}
+    before = {each.entry: len(site.process_group.log_text(each.entry)) for each in site.entries}
     sent_s = time.time()
     path = f"availability-zones/{ZONE}"
-    answer = await site.operate(name, "PUT", path, {"out": out})
+    answer = await site.call_operators(name, "PUT", path, {"out": out})
     if answer.status not in (200, 202):
         raise RuntimeError(f"{path}: {answer.body!r}")
     await trio.sleep(0.3)
     found = []
     for each in site.entries:
-        lines = site.group.log_text(each.entry)[before[each.entry] :].splitlines()
+        lines = site.process_group.log_text(each.entry)[before[each.entry] :].splitlines()
         times_s = [_time_s(line) for line in map(json.loads, lines) if line.get("event") == event]
         found.append((min(times_s) - sent_s) * 1000 if not out else (times_s[0] - sent_s) * 1000)
     return found
