--- a/standins/backends.py
+++ b/standins/backends.py
@@ -204,7 +204,7 @@
         try:
             with trio.fail_after(request.timeout_s):
                 await run.response_started.wait()
-            if run.is_cut:
+            if run.is_connection_lost:
                 raise client.AnswerLostError(f"{address}: the connection was lost")
             yield client.ForwardedResponse(run.faults.status, run.headers(), run.chunks())
         except trio.TooSlowError as error:
@@ -230,7 +230,7 @@
         self.faults = server.faults.pop(0) if server.faults else StreamFaults()
         last_event_id = dict(request.headers).get(b"last-event-id")
         self.first_index = int(last_event_id) + 1 if last_event_id else 0
-        self.is_cut = self.has_client_left = False
+        self.is_connection_lost = self.has_client_left = False
         self._scope = trio.CancelScope()
         self._send, self._receive = trio.open_memory_channel[bytes](token_count + 3)
 
@@ -246,7 +246,7 @@
 
     async def run(self) -> None:
         self.server.request_scopes.add(self._scope)
-        finished = False
+        is_finished = False
         try:
             with self._scope, contextlib.suppress(ConnectionError):
                 await trio.sleep(NETWORK_DELAY_S)
@@ -255,10 +255,10 @@
                         await trio.sleep(CRASH_DELAY_S)
                         self.server.restart()
                     await self._send_events()
-                    finished = True
+                    is_finished = True
         finally:
             self.server.request_scopes.discard(self._scope)
-            self.is_cut = not finished
+            self.is_connection_lost = not is_finished
             self.response_started.set()
             self._send.close()
 
@@ -285,5 +285,5 @@
     async def chunks(self) -> collections.abc.AsyncIterator[bytes]:
         async for chunk in self._receive:
             yield chunk
-        if self.is_cut:
+        if self.is_connection_lost:
             raise client.AnswerLostError("the connection was lost")
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -336,12 +336,15 @@
         """Return whether a member is reachable and in the same group, or still loading."""
         with trio.move_on_after(MEMBER_CHECK_TIMEOUT_S):
             try:
-                answer = await pool.request("GET", f"http://{address}/v1/load")
-                load = json.loads(answer.content)
+                response = await pool.request("GET", f"http://{address}/v1/load")
+                report = json.loads(response.content)
             except (httpcore.NetworkError, httpcore.ProtocolError, ValueError):
                 return False
-            is_same_group = (load["group"], load["generation"]) == (place.group, place.generation)
-            return is_same_group or load["loading"]
+            is_same_group = (report["group"], report["generation"]) == (
+                place.group,
+                place.generation,
+            )
+            return is_same_group or report["loading"]
         return False
 
     async def handle(self, exchange: serving.Exchange) -> None:
--- a/standins/gateways.py
+++ b/standins/gateways.py
@@ -185,17 +185,17 @@
     async def _stream_events(
         self, behaviour: ServerBehaviour, forwarded: calls.Forwarded
     ) -> collections.abc.AsyncIterator[bytes]:
-        sent = 0
+        sent_count = 0
         for number in range((forwarded.last_event_id or 0) + 1, behaviour.event_count + 1):
-            if sent == behaviour.cut_after:
+            if sent_count == behaviour.cut_after:
                 yield b"id: 99"
                 raise calls.AnswerLostError("connection lost", was_cut=True)
-            if sent == behaviour.stall_after:
+            if sent_count == behaviour.stall_after:
                 await trio.sleep_forever()
-            if sent:
+            if sent_count:
                 await trio.sleep(behaviour.event_interval_s)
             yield f"id: {number}\ndata: token {number}\n\n".encode()
-            sent += 1
+            sent_count += 1
 
 
 @attrs.define(eq=False)
--- a/standins/orders.py
+++ b/standins/orders.py
@@ -15,6 +15,7 @@
 from toucanhold.routing import dispatch, requests
 
 SERVICE = rules.Service("releases", rules.ServiceKind.PLAIN)
+# Delay of a write that takes effect after its call has failed.
 LATE_EFFECT_DELAY_S = 5.0
 
 
--- a/standins/planners.py
+++ b/standins/planners.py
@@ -70,9 +70,8 @@
     probe: terms.PredecessorProbe | None = None,
     seed: int = 1,
 ) -> Node:
-    """Return an entry that is not started.
+    """Return an entry that is not started, with its own client of the engines.
 
-    :param engines: the fleet; the entry gets a client of its own
     :param probe: checks whether the previous planner has ended; without one it is unknown
     """
     rng = random.Random(f"{seed}:{name}")
--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -15,9 +15,12 @@
 from toucanhold.routes import table
 
 REGISTRATIONS_PREFIX = "registrations/"
+# Time to join a group when the model is loaded already.
 LOADED_JOIN_S = 0.2
+# Time after which a head that misses a member of its group is broken.
 STALL_S = 4.0
 FORM_S = 0.3
+# Age of the order count that a probe returns.
 PROBE_LAG_S = 0.2
 HEARTBEAT_S = 1.2
 SERVICE = "writers"
@@ -124,7 +127,7 @@
     """Client of a fleet of in-memory servers; orders may be lost or delayed.
 
     :ivar store: key-value service with which the servers register
-    :ivar order_loss_rate: fraction of orders that get no response and are executed late
+    :ivar order_loss_ratio: fraction of orders that get no response and are executed late
     :ivar servers: servers by name
     :ivar violations: descriptions of violated invariants
     :ivar load_starts_s: times on trio's clock at which loads from the weight store started
@@ -135,7 +138,7 @@
     engine: table.Engine
     nursery: trio.Nursery
     rng: random.Random = attrs.field(factory=lambda: random.Random(0))
-    order_loss_rate: float = 0.0
+    order_loss_ratio: float = 0.0
     servers: dict[str, MemoryServer] = attrs.field(factory=dict)
     violations: list[str] = attrs.field(factory=list)
     load_starts_s: list[float] = attrs.field(factory=list)
@@ -207,7 +210,7 @@
         if not target.is_reachable:
             await trio.sleep(0.3)
             return orders.OrderOutcome.UNREACHABLE
-        if self.rng.random() < self.order_loss_rate:
+        if self.rng.random() < self.order_loss_ratio:
             self.nursery.start_soon(self._execute_late, target, order, order_count)
             await trio.sleep(0.4)
             return orders.OrderOutcome.LOST
@@ -222,14 +225,14 @@
         if not target.is_reachable:
             await trio.sleep(0.3)
             return None
-        order_count_history = [
-            (at_s, n)
-            for at_s, n in target.order_count_history
+        visible_counts = [
+            (at_s, count)
+            for at_s, count in target.order_count_history
             if at_s <= trio.current_time() - PROBE_LAG_S
         ]
         return attrs.evolve(
             target.registration(),
-            order_count=order_count_history[-1][1] if order_count_history else 0,
+            order_count=visible_counts[-1][1] if visible_counts else 0,
         )
 
     def serving_heads(self) -> dict[str, MemoryServer]:
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -145,9 +145,9 @@
             self.busy.discard(name)
 
     async def _lose_orders(self):
-        self.site.fleet.order_loss_rate = 0.4
+        self.site.fleet.order_loss_ratio = 0.4
         await trio.sleep(self.site.rng.uniform(0.5, 4))
-        self.site.fleet.order_loss_rate = 0.0
+        self.site.fleet.order_loss_ratio = 0.0
 
     async def _configure(self):
         self._tell("a new configuration")
--- a/tests/test_replica_sequences.py
+++ b/tests/test_replica_sequences.py
@@ -91,7 +91,7 @@
         await self.cluster.fleet.restart(server.name)
 
     async def _lose_orders(self):
-        self.cluster.fleet.order_loss_rate = self.rng.choice((0.0, 0.3, 0.6))
+        self.cluster.fleet.order_loss_ratio = self.rng.choice((0.0, 0.3, 0.6))
 
     async def _replace_planner(self):
         for node in self.cluster.nodes.values():
@@ -106,7 +106,7 @@
         self.cluster.platform.set_mode("up", name)
 
     async def _end_all_faults(self):
-        self.cluster.fleet.order_loss_rate = 0.0
+        self.cluster.fleet.order_loss_ratio = 0.0
         while self.disabled:
             await self._return_server()
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -346,7 +346,7 @@
     async def _run_with_lost_orders(self, seed):
         async with trio.open_nursery() as nursery:
             cluster, node = await start_formed_cluster(nursery, seed=seed)
-            cluster.fleet.order_loss_rate = 0.35
+            cluster.fleet.order_loss_ratio = 0.35
             for _ in range(3):
                 failed_members = [
                     g.record.members[1].server_id for g in node.serving_groups("large")[:1]
@@ -357,7 +357,7 @@
                     await cluster.fleet.restart(name)
                 for head in cluster.fleet.serving_heads().values():
                     cluster.fleet.check_request(head.name, len(head.members))
-            cluster.fleet.order_loss_rate = 0.0
+            cluster.fleet.order_loss_ratio = 0.0
             await trio.sleep(45)
             self.assertEqual([], cluster.fleet.violations)
             self.assertGreaterEqual(len(node.serving_groups("large")), 2)
