--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -130,7 +130,7 @@
         async with sites.running(site):
             document = sites.document_for(site, demo.SERVICES)
             document["rules"]["services"][0]["replicas"] = 2
-            document_file = site.group.log_folder / "site.json"
+            document_file = site.process_group.log_folder / "site.json"
             document_file.write_text(json.dumps(document))
             exit_status, out, err = await self._run(
                 site, "apply", str(document_file), "--expected", "0"
@@ -171,14 +171,14 @@
         async with sites.running(site):
             document = sites.document_for(site, demo.SERVICES)
             body = {"document": document, "expected": 0}
-            await site.operate("entry-0", "PUT", "document", body)
+            await site.call_operators("entry-0", "PUT", "document", body)
             for entry in site.entries:
                 await site.wait_status(entry.entry, lambda status: status["configuration"] == 1)
             await site.wait_status(
                 "entry-0",
                 lambda status: all(entry["configuration"] == 1 for entry in status["entries"]),
             )
-            await site.group.kill(sites.KEYVALUE)
+            await site.process_group.kill(sites.KEYVALUE_PROCESS)
             exit_status, _, err = await self._run(site, "zone", "out", "zone-a", "--yes")
             self.assertEqual(exitstatus.ExitStatus.NOT_DURABLE, exit_status, err)
             self.assertIn("in force on entry-0, entry-1", err)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -27,7 +27,7 @@
     def __attrs_post_init__(self):
         address = standins.free_address()
         own = entries.Entry(self.name, self.zone, "r", address, address, "b1", self.cores)
-        self.entry_list = gateways.FixedList(own)
+        self.entry_list = gateways.FixedEntryList(own)
         self.loads = load.LoadTracker()
         self.health = health.Health()
         self.crashes = crashes.CrashTracker()
@@ -55,7 +55,9 @@
         for n in range(entries_per_zone)
     ]
     for node in nodes:
-        node.entry_list.known += [other.entry_list.own for other in nodes if other is not node]
+        node.entry_list.other_entries += [
+            other.entry_list.own for other in nodes if other is not node
+        ]
     return nodes
 
 
@@ -195,7 +197,7 @@
                 for n in range(size)
             ]
             node = Node("own", "a", 0.1)
-            node.entry_list.known = entries_in_site
+            node.entry_list.other_entries = entries_in_site
             receiver_counts[size] = len(node.exchange.upstream())
         self.assertEqual({3: 2, 39: 2}, receiver_counts)
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -96,7 +96,7 @@
         """Return how many requests each entry may send to a server within a second."""
         counts = []
         for own in all_entries:
-            entry_list = gateways.FixedList(
+            entry_list = gateways.FixedEntryList(
                 own, [entry for entry in all_entries if entry is not own]
             )
             cold = budget.ColdBudget(1.5, 5, entry_list)
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -33,11 +33,11 @@
     def setUp(self):
         self.mirror = mirror.Mirror()
         server_registry = registry.Registry(
-            self.mirror, replicas.REGISTRATIONS_PREFIX, replicas.decode
+            self.mirror, replicas.REGISTRATIONS_PREFIX, replicas.decode_registration
         )
         self.group_registry = records.GroupTable(self.mirror)
         self.closed_zones = set()
-        cold = budget.ColdBudget(1.5, 5, gateways.FixedList(gateways.new_entry("e1")))
+        cold = budget.ColdBudget(1.5, 5, gateways.FixedEntryList(gateways.new_entry("e1")))
         self.targets = targets.ServerSelector(
             server_registry,
             self.group_registry,
