--- a/tests/test_operators_racing.py
+++ b/tests/test_operators_racing.py
@@ -100,7 +100,7 @@
         async with support.running() as site:
             await trio.sleep(1)
 
-            site.app("entry-0").operators.changes = None
+            site.app("entry-0").operators.change_coordinator = None
             with self.assertLogs("toucanhold.operators.app", "ERROR"):
                 answer = await support.apply(site)
             self.assertEqual((500, "internal"), (answer.status, answer.json()["kind"]))
