--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -43,7 +43,7 @@
         self.assertEqual(exitstatus.ExitStatus.INVALID, status)
         self.assertEqual("", out)
         for message in (
-            "inventory.vms[1].vm: 'vm-101' stands already at inventory.vms[0]",
+            "inventory.vms[1].vm: 'vm-101' is already used at inventory.vms[0]",
             "inventory.vms[2].address: 'nowhere' is not IP:port",
             "inventory.vms[4].availability_zone: unknown availability zone 'fi-north'",
             "rules.services[0].vms_per_replica: 3 VMs exceed the largest fabric domain",
@@ -115,7 +115,7 @@
             "--callers-address (TOUCANHOLD_CALLERS_ADDRESS): must be IP:port",
             "--default-timeout-s",
             "--operator-token (TOUCANHOLD_OPERATOR_TOKEN): each must have 16 characters",
-            "--tls-certificate and --tls-key go together",
+            "--tls-certificate and --tls-key must be set together",
         ):
             self.assertIn(message, err)
         self.assertNotIn("too-short", err)
--- a/toucanhold/cli/documents.py
+++ b/toucanhold/cli/documents.py
@@ -102,7 +102,7 @@
         )
         if final_status is None:
             operator_command.print_progress(
-                f"accepted, but not in force everywhere within {wait_s:g} s"
+                f"accepted, but not in force on every entry within {wait_s:g} s"
             )
             status = exitstatus.ExitStatus.TIMEOUT
     operator_command.print_result(answer, [f"configuration {number}"])
@@ -116,7 +116,7 @@
     if answer.not_in_force:
         operator_command.print_progress(f"not acknowledged by {', '.join(answer.not_in_force)}")
     operator_command.print_progress("not durable yet: the key-value service does not answer")
-    operator_command.print_result(answer, ["held, not durable"])
+    operator_command.print_result(answer, ["in force as a hold, not durable yet"])
     return exitstatus.ExitStatus.NOT_DURABLE
 
 
--- a/toucanhold/cli/queries.py
+++ b/toucanhold/cli/queries.py
@@ -48,7 +48,9 @@
             self.fail(exitstatus.ExitStatus.UNAVAILABLE, f"{url}: {error!r}")
             return exitstatus.ExitStatus.UNAVAILABLE
         except (ValueError, KeyError, TypeError):
-            self.fail(exitstatus.ExitStatus.ERROR, f"{url}: not a directory's answer")
+            self.fail(
+                exitstatus.ExitStatus.ERROR, f"{url}: the response is not a list of addresses"
+            )
             return exitstatus.ExitStatus.ERROR
-        self.print_result(answer, [*address_lines, f"keep for {answer['keep_s']} s"])
+        self.print_result(answer, [*address_lines, f"valid for {answer['keep_s']} s"])
         return exitstatus.ExitStatus.OK
--- a/toucanhold/cli/zones.py
+++ b/toucanhold/cli/zones.py
@@ -17,7 +17,9 @@
         wait_s = self.number_option("wait-s", float)
         for line in text.preview(await entry_client.preview_zones([zone])):
             self.print_progress(line)
-        if not self.option("yes") and not self.confirm(f"Take {zone} out?", False):
+        if not self.option("yes") and not self.confirm(
+            f"Take availability zone {zone} out of service?", False
+        ):
             self.print_progress("nothing was changed")
             return exitstatus.ExitStatus.ERROR
         force = bool(self.option("force"))
--- a/toucanhold/output/text.py
+++ b/toucanhold/output/text.py
@@ -31,9 +31,12 @@
 
 def status(seen: messages.StatusAnswer) -> Lines:
     """Yield the state of the system as seen by the entry that answered."""
-    yield f"Seen by {seen.entry}: configuration {seen.configuration}, plan {seen.plan_revision}"
+    yield (
+        f"As seen by entry {seen.entry}: configuration {seen.configuration}, "
+        f"plan {seen.plan_revision}"
+    )
     if not seen.platform_answering:
-        yield "The key-value service does not answer: nothing new is decided."
+        yield "The key-value service does not answer: no new plan or configuration can be stored."
     yield ""
     titles = ("ENTRY", "AVAILABILITY ZONE", "CALLERS", "STATE", "CONFIGURATION")
     yield from table(titles, (_entry_row(entry) for entry in seen.entries))
@@ -68,7 +71,7 @@
     if seen.groups_ended:
         yield (
             f"would end {len(seen.groups_ended)} groups with {seen.running} requests in flight, "
-            "which finish"
+            "which are allowed to finish"
         )
 
 
@@ -99,7 +102,7 @@
 
 def _entry_row(entry: messages.EntryStatus) -> Row:
     is_known = entry.configuration != UNKNOWN_CONFIGURATION
-    number = entry.configuration if is_known else "not known"
+    number = entry.configuration if is_known else "unknown"
     return (entry.entry, entry.availability_zone, entry.callers_address, entry.state, number)
 
 
--- a/toucanhold/platform/settings.py
+++ b/toucanhold/platform/settings.py
@@ -81,7 +81,7 @@
             return found
         if found is None and default is not None:
             return default
-        self.errors.append(f"{path}: a text was expected, got {found!r}")
+        self.errors.append(f"{path}: expected a non-empty string, got {found!r}")
         return ""
 
     def number(self, path: str, default: float, factor: float = 1.0) -> float:
@@ -89,7 +89,7 @@
         if found is None:
             return default
         if isinstance(found, bool) or not isinstance(found, int | float) or found < 0:
-            self.errors.append(f"{path}: a number of 0 or more was expected, got {found!r}")
+            self.errors.append(f"{path}: expected a number of 0 or more, got {found!r}")
             return default
         return found * factor
 
@@ -97,7 +97,7 @@
         found = self._lookup(path)
         if isinstance(found, list) and found and isinstance(found[0], int):
             return found[0]
-        self.errors.append(f"{path}: two ports were expected, got {found!r}")
+        self.errors.append(f"{path}: expected a list of two port numbers, got {found!r}")
         return 0
 
     def _lookup(self, path: str) -> typing.Any:
--- a/toucanhold/settings.py
+++ b/toucanhold/settings.py
@@ -36,7 +36,7 @@
 
 def _identifier(text: str) -> str:
     if not text or set(text) - set(string.ascii_letters + string.digits + "-._"):
-        raise ValueError("must be letters, digits, '-', '.' or '_'")
+        raise ValueError("must be one or more letters, digits, '-', '.' or '_'")
     return text
 
 
@@ -106,13 +106,13 @@
     """
 
     entry: str = _setting("unique name of this entry", _identifier)
-    availability_zone: str = _setting("availability zone it runs in", _identifier)
+    availability_zone: str = _setting("availability zone in which this entry runs", _identifier)
     callers_address: str = _setting("IP:port for callers", _address)
     operators_address: str = _setting("IP:port for operators", _address)
     peers_address: str = _setting("IP:port for other entries", _address)
     platform_url: str = _setting("URL of the platform's key-value service", _url)
     platform_calls_per_s: float = _setting(
-        "calls to the key-value service that this entry may make a second",
+        "maximum rate of this entry's calls to the key-value service, per second",
         _number(1, 10_000),
         100.0,
     )
@@ -121,37 +121,49 @@
         "tokens of operators, separated by commas", _key_ring, secret=True
     )
     peer_key: keyring.KeyRing = _setting(
-        "keys that entries share, separated by commas; the first is used, all are accepted",
+        "keys shared by all entries, separated by commas; the first is used, all are accepted",
         _key_ring,
         secret=True,
     )
     peers: tuple[str, ...] = _setting(
-        "peers' IP:port, separated by commas; used while the platform is silent", _addresses, ()
+        "peers' IP:port, separated by commas; used while the platform does not answer",
+        _addresses,
+        (),
     )
     tls_certificate: str = _setting("PEM file of the certificate; empty for plain HTTP", str, "")
     tls_key: str = _setting("PEM file of the certificate's key", str, "")
     default_timeout_s: float = _setting(
-        "time for a request without a deadline, seconds", _number(0.1, 3600), 60.0
+        "time allowed for a request that sets no deadline, seconds", _number(0.1, 3600), 60.0
     )
     max_timeout_s: float = _setting(
-        "longest deadline that a caller may ask for, seconds", _number(1, 86400), 600.0
+        "longest time that a caller may allow for a request, seconds", _number(1, 86400), 600.0
     )
     body_limit_bytes: int = _setting(
-        "largest request body", _integer(1024, 256 * 1024 * 1024), 4 * 1024 * 1024
+        "maximum size of a request body, bytes", _integer(1024, 256 * 1024 * 1024), 4 * 1024 * 1024
     )
     max_requests_in_flight: int = _setting(
-        "most requests that callers may have open", _integer(1, 100_000), 2000
+        "maximum number of callers' requests in flight", _integer(1, 100_000), 2000
     )
     idle_timeout_s: float = _setting(
         "time after which an idle connection is closed, seconds", _number(1, 3600), 15.0
     )
     directory_keep_s: float = _setting(
-        "how long callers may keep the directory's answer, seconds", _number(0.1, 3600), 5.0
+        "time for which callers may cache the directory's response, seconds",
+        _number(0.1, 3600),
+        5.0,
+    )
+    seed: int = _setting(
+        "seed of the random number generator; 0 for a different one at each start",
+        _integer(0, 2**63),
+        0,
+    )
+    log_format: str = _setting(
+        "format of log lines: json or human", _one_of(*logs.LOG_FORMATS), "json"
     )
-    seed: int = _setting("seed of random choices; 0 for none", _integer(0, 2**63), 0)
-    log_format: str = _setting("json or human", _one_of(*logs.LOG_FORMATS), "json")
     log_level: str = _setting(
-        "least severity that is logged", _one_of("debug", "info", "warning", "error"), "info"
+        "minimum severity of log lines: debug, info, warning or error",
+        _one_of("debug", "info", "warning", "error"),
+        "info",
     )
 
     def new_rng(self) -> random.Random:
@@ -195,7 +207,7 @@
             shown = f" (got {text!r})" if field.repr else ""
             errors.append(SettingError(f"{name}: {error}{shown}"))
     if bool(values.get("tls_certificate")) != bool(values.get("tls_key")):
-        errors.append(SettingError("--tls-certificate and --tls-key go together"))
+        errors.append(SettingError("--tls-certificate and --tls-key must be set together"))
     if errors:
         raise InvalidSettingsError("invalid settings", errors)
     return EntrySettings(**values)
