--- a/toucanhold/gateway/exchange.py
+++ b/toucanhold/gateway/exchange.py
@@ -228,7 +228,7 @@
         sender = self.entry_list.find(notice.entry, notice.boot)
         if sender is None:
             self._warn_once(
-                f"{notice.entry}/{notice.boot}", "a notice from an entry that is not listed"
+                f"{notice.entry}/{notice.boot}", "the sender is not in the list of entries"
             )
             return None
         for fingerprint, count in notice.crashes:
--- a/toucanhold/gateway/gateway.py
+++ b/toucanhold/gateway/gateway.py
@@ -106,7 +106,7 @@
             status = await self._run_attempts(state)
         if scope.cancelled_caught:
             if state.has_response_started:
-                raise calls.ResponseLostError("the time for the request is over")
+                raise calls.ResponseLostError("the deadline of the request has passed")
             raise calls.CallError(
                 calls.RefusalReason.DEADLINE_EXCEEDED,
                 state.may_have_run,
@@ -191,7 +191,9 @@
         if error.at_fault:
             # The head names the group member that prevents it from serving, so its failure is
             # permanent.
-            self.health.avoid(state.server_id, f"{error.at_fault} is at fault")
+            self.health.avoid(
+                state.server_id, f"group member {error.at_fault} prevents the head from serving"
+            )
             self.silence.on_silent(state.server_id)
 
     def _check_retry(self, state: attempt.CallState, error: calls.ExchangeError) -> None:
@@ -218,13 +220,13 @@
         """Return why the call may not be retried; if it may, consume a retry and return ""."""
         if isinstance(error, calls.ResponseLostError):
             if not state.route.may_repeat:
-                return "it may have run, and may run only once"
+                return "the request may have run, and its route allows no repeat"
             if state.runs >= state.route.attempts + state.extra_attempts:
-                return "it has been sent to as many servers as its route allows"
+                return "the maximum number of attempts of the route is reached"
         if state.deadline_s - trio.current_time() < MIN_REMAINING_S:
-            return "its time is over"
+            return "too little time remains before the deadline"
         if not self.retries.try_acquire(state.service.name):
-            return "the budget of retries is used up"
+            return "the retry budget of the service is used up"
         return ""
 
     def _raise_failure(
--- a/toucanhold/gateway/silence.py
+++ b/toucanhold/gateway/silence.py
@@ -141,7 +141,9 @@
             for stream in streams
         ):
             return False
-        self.health.avoid(server_id, f"silent at {entry}", CONFIRMATION_VALIDITY_S)
+        self.health.avoid(
+            server_id, f"entry {entry} reported the server as silent", CONFIRMATION_VALIDITY_S
+        )
         self._confirmed_until_s[server_id] = now_s + CONFIRMATION_VALIDITY_S
         return True
 
@@ -185,7 +187,7 @@
                 silent_s=round(silent_s, 3),
                 usual_s=round(self._pause_estimates[server_id].mean_s, 3),
             )
-            self.health.avoid(server_id, "all its streams are silent")
+            self.health.avoid(server_id, "all streams of the server are silent")
             self._confirmed_until_s.pop(server_id, None)
             self.on_silent(server_id)
         for stream in streams:
--- a/toucanhold/observing/poller.py
+++ b/toucanhold/observing/poller.py
@@ -59,7 +59,11 @@
             self.view.record_failure(vm.vm, trio.current_time(), str(error))
             return POLL_INTERVAL_S
         if report.vm != vm.vm:
-            self.view.record_failure(vm.vm, trio.current_time(), f"{report.vm} answered instead")
+            self.view.record_failure(
+                vm.vm,
+                trio.current_time(),
+                f"expected the load report of {vm.vm}, got that of {report.vm}",
+            )
         else:
             self.view.record_report(vm.vm, report, asked_at_s)
         return POLL_INTERVAL_S
--- a/toucanhold/orders/claims.py
+++ b/toucanhold/orders/claims.py
@@ -189,7 +189,7 @@
                 LOGGER,
                 events.Event.CLAIM_RELEASED,
                 claim=key,
-                reason="the response to its write was lost",
+                reason="the response to the write of the claim was lost",
             )
 
     async def _delete(self, key: str, mod_revision: int) -> None:
--- a/toucanhold/peers/streams.py
+++ b/toucanhold/peers/streams.py
@@ -199,7 +199,7 @@
                         self._run_until_end, task, link, end_reasons, nursery.cancel_scope
                     )
                 self.exchange.attach(link.peer.entry, link.outbox)
-        return end_reasons[0] if end_reasons else "another stream took its place"
+        return end_reasons[0] if end_reasons else "replaced by another stream to the same peer"
 
     async def _run_until_end(
         self,
@@ -213,7 +213,7 @@
         except (frames.FrameError, messages.MessageError) as error:
             end_reasons.append(str(error))
         except trio.TooSlowError:
-            end_reasons.append("no heartbeat in time, or the peer does not read")
+            end_reasons.append("timed out: the peer sent no heartbeat or does not read")
         scope.cancel()
 
     async def _receive_messages(self, link: _Link) -> None:
--- a/toucanhold/planning/placement.py
+++ b/toucanhold/planning/placement.py
@@ -58,17 +58,17 @@
         """Return the reason for ending a group, for the log."""
         for member in group.members:
             if member in self.lost:
-                return f"{member} is gone or leaves"
+                return f"{member} is lost or leaving"
             if self.has_left(member, group):
                 return f"{member} restarted or left the group"
             if is_out(member, self):
-                return f"the availability zone of {member} is out"
+                return f"the availability zone of {member} is taken out of service"
         if group.generation_key in self.ended:
-            return "a member was seen to leave"
+            return "the group was observed to lose a member"
         service = self.configuration.rules.service(group.service)
         if service is None or not is_current(group, service):
-            return "the service is gone or has another version"
-        return "more replicas than wanted, or its VMs serve a more important service"
+            return "the service was removed or its version has changed"
+        return "more replicas than wanted, or a more important service needs the VMs"
 
     def reason_to_form(self, group: plan.Group) -> str:
         """Return the reason for forming a group, for the log."""
@@ -82,10 +82,10 @@
         ]
         serving = [each for each in unbroken if not any(is_out(vm, self) for vm in each.members)]
         if len(serving) < wanted:
-            return f"{len(serving)} of {wanted} replicas were planned"
+            return f"only {len(serving)} of {wanted} replicas were planned"
         if service and any(not is_current(each, service) for each in serving):
-            return "a replica has an old version of the model"
-        return "replicas are crowded in one availability zone"
+            return "a replica has an outdated version of the model"
+        return "too many replicas are in one availability zone"
 
     def has_left(self, member: str, group: plan.Group) -> bool:
         """Return whether a member is lost, has restarted, or has left a formed group."""
--- a/toucanhold/planning/writing.py
+++ b/toucanhold/planning/writing.py
@@ -132,7 +132,7 @@
                 events.Event.GROUP_ENDED,
                 group=group.group,
                 service=group.service,
-                reason=reasons.get(group.generation_key, "another planner's decision"),
+                reason=reasons.get(group.generation_key, "decided by another planner"),
             )
     for group in new.groups:
         if group.generation_key not in old_keys:
@@ -142,5 +142,5 @@
                 group=group.group,
                 service=group.service,
                 members=list(group.members),
-                reason=reasons.get(group.generation_key, "another planner's decision"),
+                reason=reasons.get(group.generation_key, "decided by another planner"),
             )
--- a/toucanhold/replicas/driver.py
+++ b/toucanhold/replicas/driver.py
@@ -98,23 +98,23 @@
         if self._may_be_partitioned(group):
             return ""
         if self._is_head_missing(group):
-            return f"the head {group.head.server_id} is gone"
+            return f"the head {group.head.server_id} is no longer registered"
         for member in group.record.members:
             server = self.server_registry.find(member.incarnation)
             if server is None:
-                return f"{member.server_id} is gone"
+                return f"{member.server_id} is no longer registered"
             if server.is_leaving:
                 return f"{member.server_id} is leaving"
             if self.order_sender.is_unreachable(member.incarnation):
-                return f"{member.server_id} does not answer"
+                return f"{member.server_id} does not respond"
             membership = server.membership
             if membership is not None and membership.epoch > group.epoch:
                 return f"{member.server_id} has joined a later group"
         if self._state(group.head, group) is servers.GroupState.BROKEN:
-            return "the head has broken"
+            return "the head reports that the group is broken"
         forming_s = trio.current_time() - self._started_at_s
         if not self._has_served and forming_s > FORMING_TIMEOUT_S:
-            return "it was not formed in time"
+            return f"the group was not formed within {FORMING_TIMEOUT_S:g} s"
         return ""
 
     def _is_head_missing(self, group: records.Group) -> bool:
--- a/toucanhold/replicas/planner.py
+++ b/toucanhold/replicas/planner.py
@@ -342,7 +342,7 @@
             group=name,
             epoch=group.epoch,
             model=group.record.model,
-            reason=f"{step.model.name} is underserved and needs these servers",
+            reason=f"the servers are needed for the underserved model {step.model.name}",
         )
         try:
             await self.plan_writer.mark_ending(group)
--- a/toucanhold/routing/dispatch.py
+++ b/toucanhold/routing/dispatch.py
@@ -115,7 +115,7 @@
         self, request: requests.CallerRequest, failure: attempts.RetryableError, attempt_number: int
     ) -> str:
         if attempt_number == MAX_ATTEMPTS:
-            return "too many attempts"
+            return f"the limit of {MAX_ATTEMPTS} attempts is reached"
         min_duration_s = self.admission.expected_duration_s(request) / 2
         if not failure.has_begun and trio.current_time() + min_duration_s >= request.deadline_s:
             return "another attempt cannot meet the deadline"
--- a/toucanhold/routing/watchdog.py
+++ b/toucanhold/routing/watchdog.py
@@ -55,13 +55,13 @@
         # check the caller would wait for the rest of its stream until the deadline.
         candidate = attempt.candidate
         if now_s - attempt.last_event_s > self.stall_timeout_s:
-            return f"no event for {self.stall_timeout_s:.0f} s"
+            return f"the backend server sent no event for {self.stall_timeout_s:.0f} s"
         if self.view.is_silent(candidate.vm.vm, now_s):
-            return "the backend server no longer answers"
+            return "the backend server no longer responds"
         group = candidate.group
         if group is not None and self.view.is_ended(*group.generation_key):
             return "the group has lost a member"
         observation = self.view.observation(candidate.vm.vm)
         if observation is not None and observation.report.boot_id != candidate.report.boot_id:
-            return "the backend server has booted again"
+            return "the backend server has restarted"
         return ""
