--- a/toucanhold/callers/app.py
+++ b/toucanhold/callers/app.py
@@ -102,7 +102,7 @@
                 await handler(scope, receive, send)
                 return
             if self.in_flight > self.max_in_flight:
-                detail = f"{self.max_in_flight} requests are open"
+                detail = f"the limit of {self.max_in_flight} requests in flight is reached"
                 raise reading.new_refusal(requests.Problem.OVERLOADED, detail, BUSY_RETRY_AFTER_S)
             with self.body_memory.open_reservation() as reservation:
                 request = await self.reader.read(scope, receive, request_id, reservation)
@@ -188,7 +188,7 @@
         addresses_response = self.directory.lookup(caller, query.get("availability_zone", ""))
         if not addresses_response["addresses"]:
             # A caller that cached an empty list would have no entry to use until it expired.
-            detail = "no entry is known that takes requests; ask another"
+            detail = "this entry knows no entry that accepts requests; ask another entry"
             raise reading.new_refusal(
                 requests.Problem.NOT_READY, detail, reading.NOT_READY_RETRY_AFTER_S
             )
--- a/toucanhold/callers/order_keys.py
+++ b/toucanhold/callers/order_keys.py
@@ -60,7 +60,7 @@
             raise _malformed_body("the body must be a JSON object") from error
         if type(count) is not int or not 1 <= count <= issued.MAX_KEYS_PER_REQUEST:
             raise _malformed_body(
-                f"count must be an integer from 1 to {issued.MAX_KEYS_PER_REQUEST}"
+                f"the field 'count' must be an integer from 1 to {issued.MAX_KEYS_PER_REQUEST}"
             )
         return count
 
--- a/toucanhold/callers/reading.py
+++ b/toucanhold/callers/reading.py
@@ -95,11 +95,11 @@
             detail = f"the body exceeds {limits.body_bytes} bytes"
             raise new_refusal(requests.Problem.TOO_LARGE, detail) from error
         except bodies.BodyMemoryExhaustedError as error:
-            detail = "too many request bodies are open"
+            detail = "the memory limit for request bodies is reached"
             raise new_refusal(requests.Problem.OVERLOADED, detail, BUSY_RETRY_AFTER_S) from error
         except trio.TooSlowError as error:
             # Without a timeout, a caller that trickles bytes would occupy its slot without end.
-            detail = f"the body did not arrive in {limits.body_timeout_s} s"
+            detail = f"the body did not arrive within {limits.body_timeout_s} s"
             raise new_refusal(requests.Problem.BODY_TIMEOUT, detail) from error
 
     def _model_request(
@@ -115,10 +115,12 @@
             body = json.dumps(fields | {"model": adapter or service.model}).encode()
             prefix = affinity.prefix_key(fields)
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
-            detail = "the body must be a JSON object with a model"
+            detail = "the body must be a JSON object with the field 'model'"
             raise new_refusal(requests.Problem.MALFORMED, detail) from error
         if stream is not None and not isinstance(stream, bool):
-            raise new_refusal(requests.Problem.MALFORMED, "stream must be true or false")
+            raise new_refusal(
+                requests.Problem.MALFORMED, "the field 'stream' must be true or false"
+            )
         path = scope["path"]
         request = self._build_request(scope, body, request_id, service, path, True, bool(stream))
         return attrs.evolve(request, adapter=adapter, prefix=prefix)
@@ -168,7 +170,7 @@
         except ValueError:
             timeout_s = -1.0
         if not 0 < timeout_s <= self.limits.max_timeout_s:
-            detail = f"{TIMEOUT_HEADER} must lie above 0 and up to {self.limits.max_timeout_s}"
+            detail = f"{TIMEOUT_HEADER} must be above 0 and at most {self.limits.max_timeout_s}"
             raise new_refusal(requests.Problem.MALFORMED, detail)
         return timeout_s
 
@@ -178,7 +180,7 @@
                 return service
         shown_name = name[:100] if isinstance(name, str) else type(name).__name__
         raise new_refusal(
-            requests.Problem.UNKNOWN_SERVICE, f"no {kind.value} service {shown_name!r}"
+            requests.Problem.UNKNOWN_SERVICE, f"unknown {kind.value} service {shown_name!r}"
         )
 
 
@@ -189,7 +191,7 @@
     """
     name = asgi.header(scope, WORKSPACE_HEADER) or DEFAULT_WORKSPACE
     if len(name) > WORKSPACE_MAX_LENGTH or set(name) - PRINTABLE_CHARACTERS:
-        detail = f"{WORKSPACE_HEADER} must be up to {WORKSPACE_MAX_LENGTH} printable characters"
+        detail = f"{WORKSPACE_HEADER} must have at most {WORKSPACE_MAX_LENGTH} printable characters"
         raise new_refusal(requests.Problem.MALFORMED, detail)
     return name
 
--- a/toucanhold/membership/permit.py
+++ b/toucanhold/membership/permit.py
@@ -57,17 +57,17 @@
     def refusal(self) -> str | None:
         """Return the reason why no new work may start now, or None if it may."""
         if not self.configuration.current.number:
-            return "no configuration yet"
+            return "this entry has not received a configuration yet"
         # Checked here as well as at each tick, because after a pause a request may run before the
         # next tick.
         if self._last_tick.age_s() > MAX_TICK_GAP_S:
-            return "the entry was paused and has not checked its configuration since"
+            return "this entry was paused and has not checked its configuration since"
         if self.reader.confirmed_at.age_s() <= READ_VALID_S:
             return None
         if self._last_majority.age_s() > MAJORITY_GRACE_S:
-            return "neither the platform nor a majority of the entries can be reached"
+            return "neither the key-value service nor a majority of the entries can be reached"
         if self._last_up_to_date.age_s() > BEHIND_GRACE_S:
-            return "peers have a later configuration"
+            return "other entries have a later configuration than this entry"
         return None
 
     def may_start(self) -> bool:
--- a/toucanhold/operators/app.py
+++ b/toucanhold/operators/app.py
@@ -78,7 +78,7 @@
             # Without this, the ASGI server would send a 500 without a body. Whether the change was
             # made is not known here, and the response must say so.
             LOGGER.exception("%s %s failed", scope["method"], scope["path"])
-            detail = f"{error!r}; whether anything was changed is not known, see status"
+            detail = f"{error!r}; it is not known whether anything was changed, check the status"
             body, code = codec.to_json(messages.ErrorAnswer("internal", detail)), 500
         await asgi.respond(send, code, [(b"content-type", b"application/json")], body)
 
@@ -102,7 +102,7 @@
         if method == "PUT" and path.startswith(ZONES_PREFIX):
             zone = path.removeprefix(ZONES_PREFIX)
             return await self._set_zone(zone, await _decode_body(receive, messages.ZoneRequest))
-        raise _error(404, "unknown", f"no such operation: {method} {path}")
+        raise _error(404, "unknown", f"unknown operation: {method} {path}")
 
     def _preview_zones(self, scope: asgi.Scope) -> preview.Preview:
         query = urllib.parse.parse_qs(scope["query_string"].decode("latin-1"))
@@ -113,7 +113,9 @@
                 422, "invalid", "at least one availability zone is required: ?without=NAME"
             )
         if unknown := sorted(set(zones) - known_zones):
-            raise _error(404, "unknown-availability-zone", f"no availability zone {unknown[0]!r}")
+            raise _error(
+                404, "unknown-availability-zone", f"unknown availability zone {unknown[0]!r}"
+            )
         return self.previewer.preview_without_zones(zones)
 
     def _preview_document(self, new_document: document.Document) -> preview.Preview:
@@ -142,13 +144,13 @@
             for zone_rules in self.configuration.current.rules.availability_zones
         }
         if zone not in known_zones:
-            raise _error(404, "unknown-availability-zone", f"no availability zone {zone!r}")
+            raise _error(404, "unknown-availability-zone", f"unknown availability zone {zone!r}")
         if not request.out:
             return await _translate_store_errors(
                 self.change_coordinator.return_zone(zone, request.author)
             )
         if not known_zones[zone].drainable and not request.force:
-            detail = f"the rules say that {zone!r} may not be drained; force overrides them"
+            detail = f"the rules mark {zone!r} as not drainable; force overrides them"
             raise _error(409, "not-drainable", detail)
         return await _translate_store_errors(
             self.change_coordinator.take_zone_out(zone, request.author)
--- a/toucanhold/orders/claimed.py
+++ b/toucanhold/orders/claimed.py
@@ -60,7 +60,7 @@
             return self._repeat_result(existing, fingerprint)
         if self.runner.count >= MAX_UNSETTLED:
             # Outcomes that cannot be stored yet are held in memory; the limit bounds that memory.
-            detail = f"{MAX_UNSETTLED} orders wait for their outcome to be stored"
+            detail = f"{MAX_UNSETTLED} orders are running or their outcome is not stored yet"
             return results.refusal(requests.Problem.OVERLOADED, detail, BUSY_RETRY_AFTER_S)
         order = self._new_order(key, fingerprint, request)
         self._orders[key] = order
@@ -102,7 +102,7 @@
         try:
             outcome = await self.claims.claim(order.key, order.record)
         except claims.ClaimUnavailableError as error:
-            detail = f"this sending did not run; repeat it with the same key: {error}"
+            detail = f"this request did not run; repeat it with the same idempotency key: {error}"
             # A repeat may claim the key again at once. A claim that may exist is still deleted.
             self._forget(order)
             future.set_result(
--- a/toucanhold/orders/claims.py
+++ b/toucanhold/orders/claims.py
@@ -72,7 +72,7 @@
             )
         if not self.leases.has_room():
             raise ClaimUnavailableError(
-                "this entry's share of stored claims is used up", False, FULL_RETRY_AFTER_S
+                "this entry has used up its share of stored claims", False, FULL_RETRY_AFTER_S
             )
         may_exist = False
         backoff_s = FIRST_BACKOFF_S
@@ -88,7 +88,7 @@
                     )
                 if outcome is not None:
                     return outcome
-                reason = "the claim changed hands"
+                reason = "an earlier claim of the key was deleted during this call"
             except commits.QueueFullError as error:
                 raise ClaimUnavailableError(str(error), may_exist, error.retry_after_s) from error
             except records.RecordError as error:
--- a/toucanhold/orders/commits.py
+++ b/toucanhold/orders/commits.py
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, retry_after_s: float) -> None:
-        super().__init__(f"too many claims wait; room in {retry_after_s:.1f} s")
+        super().__init__(f"the queue of claim writes is full; retry in {retry_after_s:.1f} s")
         self.retry_after_s = retry_after_s
 
 
--- a/toucanhold/orders/issued.py
+++ b/toucanhold/orders/issued.py
@@ -93,11 +93,11 @@
             return self._repeat_result(used, fingerprint)
         if trio.current_time() >= key.expires_at_s:
             return results.outcome_unknown(
-                "the order key has expired; whether it ever ran is forgotten"
+                "the order key has expired; it is no longer recorded whether its order ran"
             )
         if len(self._used_keys) >= MAX_USED_KEYS:
             # Forgetting a key that is still valid could run its order twice.
-            detail = f"{MAX_USED_KEYS} order keys are in use"
+            detail = f"the limit of {MAX_USED_KEYS} used order keys is reached"
             return results.refusal(requests.Problem.OVERLOADED, detail, FULL_RETRY_AFTER_S)
         remaining_s = max(0.0, request.deadline_s - trio.current_time())
         used = _UsedKey(claim_key, fingerprint, key.expires_at_s, self.wall_clock() + remaining_s)
@@ -197,10 +197,13 @@
         try:
             record = await self.claims.read(records.claim_key(request))
         except (keyvalue.KeyValueError, records.RecordError) as error:
-            return results.outcome_unknown(f"the process that issued the key is gone: {error}")
+            return results.outcome_unknown(
+                "the process that issued the key is no longer listed; "
+                f"cannot read its record: {error}"
+            )
         if record is None:
             return results.outcome_unknown(
-                "the process that issued the key is gone, with what it knew"
+                "the process that issued the key is no longer listed, and no outcome is stored"
             )
         own = self.roster.own
         return results.from_record(
--- a/toucanhold/orders/results.py
+++ b/toucanhold/orders/results.py
@@ -105,7 +105,7 @@
     remaining_s = record.ends_at_s - now_s
     if record.state is records.ClaimState.CLAIMED and remaining_s > 0 and not is_holder_gone:
         return in_progress(remaining_s)
-    return outcome_unknown("the order was sent, or was about to be, and its answer was lost")
+    return outcome_unknown("the order may have been sent, and its answer was lost")
 
 
 def replay_answer(answer: records.KeptAnswer) -> Result:
--- a/toucanhold/routing/admission.py
+++ b/toucanhold/routing/admission.py
@@ -76,7 +76,7 @@
         self, request: requests.CallerRequest, avoid: frozenset[str]
     ) -> candidates.Candidate:
         if self._waiting >= MAX_WAITING:
-            raise _refusal_error(f"the queue is full with {MAX_WAITING} requests")
+            raise _refusal_error(f"the queue is full: {MAX_WAITING} requests are waiting")
         self._waiting += 1
         try:
             while trio.current_time() < request.deadline_s:
--- a/toucanhold/routing/attempts.py
+++ b/toucanhold/routing/attempts.py
@@ -132,7 +132,7 @@
                 self._check_engine_status(response.status, body, placement)
             if self.stream_position.has_begun:
                 raise self._record_failure(
-                    placement, _lost_error(self.request, "the stream was not resumed")
+                    placement, _lost_error(self.request, "the engine did not resume the stream")
                 )
             self.response_relay.start(response.status, _forwarded_headers(response.headers))
             self.response_relay.put(body)
@@ -149,7 +149,8 @@
         if status in RETRYABLE_STATUSES:
             # Such a status does not prove that the engine had not started the request.
             raise self._record_failure(
-                placement, _lost_error(self.request, f"the engine answered {status}")
+                placement,
+                _lost_error(self.request, f"the engine responded with HTTP status {status}"),
             )
 
     async def _forward_stream(
--- a/toucanhold/routing/fairqueue.py
+++ b/toucanhold/routing/fairqueue.py
@@ -186,7 +186,9 @@
         evicted = queue.order.newest(most_backlogged)
         queue.order.remove(most_backlogged, evicted)
         self._refuse(
-            evicted, "removed from the full queue for a workspace with fewer requests", wait_s
+            evicted,
+            "removed from the full queue in favour of a workspace with fewer requests",
+            wait_s,
         )
 
     def _refuse(self, waiter: _Waiter, detail: str, retry_after_s: float) -> None:
--- a/toucanhold/routing/isolation.py
+++ b/toucanhold/routing/isolation.py
@@ -236,7 +236,7 @@
     return requests.RequestError(
         requests.Problem.BACKEND_FAILED,
         requests.Outcome.UNKNOWN,
-        "the request was lost twice, once while it ran isolated",
+        "the answer was lost twice, once during an isolated run",
         RETRY_AFTER_S,
     )
 
