--- a/toucanhold/cli/operating.py
+++ b/toucanhold/cli/operating.py
@@ -54,7 +54,9 @@
         token = environment_variables.get(definitions.OPERATOR_TOKEN_VARIABLE, "")
         ca_file = self.option("ca") or environment_variables.get(definitions.CA_VARIABLE, "")
         if not token:
-            raise command.UsageError(f"{definitions.OPERATOR_TOKEN_VARIABLE} is not set")
+            raise command.UsageError(
+                f"{definitions.OPERATOR_TOKEN_VARIABLE} is not set; expected an operator's token"
+            )
         return client.OperatorsClient(
             (url or definitions.DEFAULT_ENTRY_URL).rstrip("/"), token, ca_file
         )
--- a/toucanhold/orders/issued.py
+++ b/toucanhold/orders/issued.py
@@ -141,7 +141,7 @@
         self, request: requests.CallerRequest, future: results.ResultFuture, used: _UsedKey
     ) -> None:
         own = self.roster.own
-        result = results.outcome_unknown("internal error")
+        result = results.outcome_unknown("the task of the order ended with an internal error")
         try:
             result = await self.runner.send(request)
         finally:
--- a/toucanhold/orders/keys.py
+++ b/toucanhold/orders/keys.py
@@ -69,7 +69,7 @@
                 # Unused base64 bits may differ: two encodings of one key would be two orders.
                 raise InvalidKeyError("not in canonical base64 form")
             if self.secrets.find(mac, lambda secret: _mac(secret, body)) is None:
-                raise InvalidKeyError("wrong signature")
+                raise InvalidKeyError("invalid signature")
             key = IssuedKey(*msgpack.unpackb(body))
         except (ValueError, TypeError, msgpack.UnpackException) as error:
             raise InvalidKeyError("malformed") from error
--- a/toucanhold/platform/settings.py
+++ b/toucanhold/platform/settings.py
@@ -117,7 +117,7 @@
     """
     path = variables.get(FILE_VARIABLE)
     if not path:
-        raise SettingsError(f"{FILE_VARIABLE} is not set")
+        raise SettingsError(f"{FILE_VARIABLE} is not set; expected the path of the settings file")
     try:
         return parse(pathlib.Path(path).read_text())
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
--- a/toucanhold/routing/dispatch.py
+++ b/toucanhold/routing/dispatch.py
@@ -120,7 +120,7 @@
         if not failure.has_begun and trio.current_time() + min_duration_s >= request.deadline_s:
             return "another attempt cannot meet the deadline"
         if not self.retry_budget.try_spend():
-            return "the retry budget is empty"
+            return "the retry budget is used up"
         return ""
 
 
