--- a/toucanhold/gateway/gateway.py
+++ b/toucanhold/gateway/gateway.py
@@ -106,7 +106,7 @@
             status = await self._run_attempts(state)
         if scope.cancelled_caught:
             if state.has_response_started:
-                raise calls.ResponseLostError("the deadline of the request has passed")
+                raise calls.ResponseLostError("the time for the request is over")
             raise calls.CallError(
                 calls.RefusalReason.DEADLINE_EXCEEDED,
                 state.may_have_run,
