--- a/toucanhold/configuration/document.py
+++ b/toucanhold/configuration/document.py
@@ -117,9 +117,7 @@
 
 def _version_errors(document: Document) -> DocumentErrors:
     if document.format_version != FORMAT_VERSION:
-        yield DocumentError(
-            "format_version", f"must be {FORMAT_VERSION}, got {document.format_version}"
-        )
+        yield DocumentError("format_version", f"must be {FORMAT_VERSION}")
 
 
 def _zone_errors(document: Document) -> DocumentErrors:
@@ -142,9 +140,7 @@
                 f"{path}.availability_zone", f"unknown availability zone {vm.availability_zone!r}"
             )
         if not 0 <= vm.accelerators <= MAX_ACCELERATORS:
-            yield DocumentError(
-                f"{path}.accelerators", f"must be 0 to {MAX_ACCELERATORS}, got {vm.accelerators}"
-            )
+            yield DocumentError(f"{path}.accelerators", f"must be 0 to {MAX_ACCELERATORS}")
         if vm.kind is inventory.VmKind.ENGINE and not vm.fabric_domain:
             yield DocumentError(f"{path}.fabric_domain", "must be set for an engine")
         if vm.kind is inventory.VmKind.SERVICE:
