--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -48,11 +48,11 @@
         variables = dict(self.variables)
         if audited:
             variables["PYTHONPATH"] = str(self.folder)
-        command = [sys.executable, "-S", binary.TARGET, *words]
+        command = [sys.executable, "-S", binary.OUTPUT_PATH, *words]
         if audited:
             # -S skips sitecustomize too, so the hook is imported by hand.
             start = f"import sitecustomize, runpy, sys; sys.argv = {['toucanhold', *words]!r};"
-            start += f"runpy.run_path({str(binary.TARGET)!r}, run_name='__main__')"
+            start += f"runpy.run_path({str(binary.OUTPUT_PATH)!r}, run_name='__main__')"
             command = [sys.executable, "-S", "-c", start]
         return subprocess.run(
             command, cwd=self.empty, env=variables, capture_output=True, text=True, timeout=60
@@ -65,8 +65,8 @@
         self.assertIn("0.1.0", ran.stdout)
 
     def test_is_one_executable_file(self):
-        self.assertTrue(os.access(binary.TARGET, os.X_OK))
-        self.assertTrue(binary.TARGET.is_file())
+        self.assertTrue(os.access(binary.OUTPUT_PATH, os.X_OK))
+        self.assertTrue(binary.OUTPUT_PATH.is_file())
 
     def test_starts_no_process_and_writes_no_file(self):
         # The operator sees a process that a policy against child processes lets run: trio's
@@ -92,7 +92,7 @@
             "directory-keep-s": "0.1",
         }.items():
             words += [f"--{flag}", value]
-        command = [sys.executable, "-S", binary.TARGET, "entry", *words]
+        command = [sys.executable, "-S", binary.OUTPUT_PATH, "entry", *words]
         log = self.folder / "log"
         with log.open("wb") as stream:
             process = subprocess.Popen(
--- a/tests/test_poisoned_records.py
+++ b/tests/test_poisoned_records.py
@@ -57,5 +57,5 @@
         self.assertEqual(200, (await sites.call("POST", url, body)).status)
 
     async def _chat(self, address: str) -> sites.Response:
-        body = {"model": demo.MODEL, "messages": [{"role": "user", "content": "Explain."}]}
+        body = {"model": demo.MODEL_SERVICE, "messages": [{"role": "user", "content": "Explain."}]}
         return await sites.call("POST", f"http://{address}/v1/chat/completions", body)
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools for developers: the demo, the binary, measurements."""
+"""Developer tools: demo, binary, fault matrix and measurements."""
--- a/tools/capacity/__init__.py
+++ b/tools/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measures slopes on one machine and works out the two-year size: ``python -m tools.capacity``."""
+"""Measures costs per VM and entry and extrapolates them: ``python -m tools.capacity``."""
--- a/tools/capacity/running.py
+++ b/tools/capacity/running.py
@@ -1,4 +1,4 @@
-"""What running entries cost while no caller asks, by the number of VMs and of entries."""
+"""Measures processor and memory use of idle entries by the number of VMs and of entries."""
 
 import collections.abc
 import os
@@ -10,17 +10,17 @@
 from standins import site as sites
 from tools.capacity import slopes
 
-WINDOW_S = 10.0
+SAMPLE_WINDOW_S = 10.0
 SETTLE_S = 4.0
 VM_COUNTS = (24, 48, 96, 192)
 ENTRY_COUNTS = (1, 3, 5, 7)
-FEW_VMS = 12
+BASELINE_VMS = 12
 ZONES = ("zone-a", "zone-b", "zone-c")
 
 
 @attrs.frozen
 class Usage:
-    """What one entry used.
+    """Resource use of one entry.
 
     :ivar cpu: share of a core
     :ivar resident_kb: resident memory, interpreter and libraries included
@@ -31,23 +31,25 @@
 
 
 def measure() -> collections.abc.Iterator[slopes.Slope]:
-    """Yield lines over the number of VMs, then over the number of entries."""
-    by_vms = [(size, trio.run(_use_of_one_entry, size, 1)) for size in VM_COUNTS]
-    yield from _lines(by_vms, "VM, one entry")
-    by_entries = [(size, trio.run(_use_of_one_entry, FEW_VMS, size)) for size in ENTRY_COUNTS]
-    yield from _lines(by_entries, f"entry, {FEW_VMS} VMs")
+    """Yield the slopes over the number of VMs, then over the number of entries."""
+    by_vms = [(size, trio.run(_measure_entry_usage, size, 1)) for size in VM_COUNTS]
+    yield from _fit_usage(by_vms, "VM, one entry")
+    by_entries = [
+        (size, trio.run(_measure_entry_usage, BASELINE_VMS, size)) for size in ENTRY_COUNTS
+    ]
+    yield from _fit_usage(by_entries, f"entry, {BASELINE_VMS} VMs")
 
 
-def _lines(
+def _fit_usage(
     points: collections.abc.Sequence[tuple[int, Usage]], item: str
 ) -> collections.abc.Iterator[slopes.Slope]:
     cpu = [(size, usage.cpu * 100) for size, usage in points]
-    yield slopes.through(f"processor, per {item}", "% of a core", cpu)
+    yield slopes.fit_line(f"processor, per {item}", "% of a core", cpu)
     memory = [(size, usage.resident_kb) for size, usage in points]
-    yield slopes.through(f"resident memory, per {item}", "KB", memory)
+    yield slopes.fit_line(f"resident memory, per {item}", "KB", memory)
 
 
-async def _use_of_one_entry(vms: int, entries: int) -> Usage:
+async def _measure_entry_usage(vms: int, entries: int) -> Usage:
     site = sites.new_site(sites.log_folder(), ZONES, vms // len(ZONES), "releases", 0, entries)
     site.one_process = True
     service = {
@@ -62,24 +64,25 @@
         await site.operate("entry-0", "PUT", "document", body)
         await site.wait_status("entry-0", _all_serving, 60)
         await trio.sleep(SETTLE_S)
-        # Another than the planner where there is one: planning is measured apart.
+        # Choose an entry that is not the planner where possible: planning is measured separately.
         name = f"entry-{entries - 1}"
-        return await _use(site.group.pid(name))
+        return await _measure_usage(site.group.pid(name))
 
 
 def _all_serving(status: dict) -> bool:
-    return all(each["serving"] >= each["wanted"] for each in status["services"])
+    return all(service["serving"] >= service["wanted"] for service in status["services"])
 
 
-async def _use(pid: int) -> Usage:
+async def _measure_usage(pid: int) -> Usage:
     before_s = _cpu_s(pid)
-    await trio.sleep(WINDOW_S)
+    await trio.sleep(SAMPLE_WINDOW_S)
     pages = int(pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1])
     resident_kb = pages * os.sysconf("SC_PAGE_SIZE") / 1024
-    return Usage((_cpu_s(pid) - before_s) / WINDOW_S, resident_kb)
+    return Usage((_cpu_s(pid) - before_s) / SAMPLE_WINDOW_S, resident_kb)
 
 
 def _cpu_s(pid: int) -> float:
-    # The name in the second field may hold spaces; user and system time are the 14th and 15th.
+    # The process name in the second field may contain spaces, so the fields after it are counted.
+    # User and system time are fields 14 and 15.
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
--- a/tools/capacity/slopes.py
+++ b/tools/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""Lines through figures measured at several sizes."""
+"""Fits lines to values measured at several sizes."""
 
 import collections.abc
 import statistics
@@ -7,21 +7,23 @@
 
 REPEATS = 5
 
-Measured = collections.abc.Callable[[int], float]
+Measurement = collections.abc.Callable[[int], float]
 
 
 @attrs.frozen
 class Slope:
-    """A line through measured points.
+    """A line fitted to measured points.
 
-    :ivar fit: coefficient of determination; 1 for points on a line
+    :ivar per_item: slope, in ``unit`` per item
+    :ivar offset: value at size 0, in ``unit``
+    :ivar r_squared: coefficient of determination; 1 for points on a line
     """
 
     name: str
     unit: str
     per_item: float
     offset: float
-    fit: float
+    r_squared: float
 
     def at(self, size: float) -> float:
         """Return the value that the line gives at ``size``."""
@@ -31,19 +33,21 @@
 def measure(
     name: str,
     unit: str,
-    measured: Measured,
+    measurement: Measurement,
     sizes: collections.abc.Sequence[int],
     repeats: int = REPEATS,
 ) -> Slope:
-    """Measure at all sizes, the median of ``repeats`` runs each, and return the line."""
-    points = [(size, statistics.median(measured(size) for _ in range(repeats))) for size in sizes]
-    return through(name, unit, points)
+    """Measure the median of ``repeats`` runs at each size and return the fitted line."""
+    points = [
+        (size, statistics.median(measurement(size) for _ in range(repeats))) for size in sizes
+    ]
+    return fit_line(name, unit, points)
 
 
-def through(name: str, unit: str, points: collections.abc.Sequence[tuple[float, float]]) -> Slope:
+def fit_line(name: str, unit: str, points: collections.abc.Sequence[tuple[float, float]]) -> Slope:
     """Return the least-squares line through ``points``."""
     sizes, values = zip(*points, strict=True)
-    line = statistics.linear_regression(sizes, values)
-    varies = len(set(values)) > 1
-    correlation = statistics.correlation(sizes, values) if varies else 1.0
-    return Slope(name, unit, line.slope, line.intercept, correlation**2)
+    regression = statistics.linear_regression(sizes, values)
+    is_varying = len(set(values)) > 1
+    correlation = statistics.correlation(sizes, values) if is_varying else 1.0
+    return Slope(name, unit, regression.slope, regression.intercept, correlation**2)
--- a/tools/capacity/state.py
+++ b/tools/capacity/state.py
@@ -1,4 +1,4 @@
-"""What an entry's state costs, by the number of VMs."""
+"""Measures size, memory and processing time of an entry's state by the number of VMs."""
 
 import collections.abc
 import gc
@@ -26,7 +26,7 @@
 
 def sample_document(vms: int) -> document.Document:
     """Return inventory and rules of a fleet with ``vms`` VMs."""
-    listed = tuple(
+    vms_of_fleet = tuple(
         inventory.Vm(
             vm=f"vm-{number:05d}",
             address=f"10.{number // 65536}.{number // 256 % 256}.{number % 256}:9000",
@@ -48,11 +48,11 @@
         for number in range(SERVICES)
     )
     zones = tuple(rules.AvailabilityZone(f"zone-{number}") for number in range(ZONES))
-    return document.Document(1, inventory.Inventory(listed), rules.Rules(services, zones))
+    return document.Document(1, inventory.Inventory(vms_of_fleet), rules.Rules(services, zones))
 
 
 def sample_configuration(vms: int) -> snapshot.Configuration:
-    """Return the configuration of a fleet, decoded from its parts."""
+    """Return the configuration of a fleet with ``vms`` VMs, decoded from its parts."""
     bodies = snapshot.bodies_of(sample_document(vms))
     parts = {name: snapshot.Part(name, 1, body) for name, body in bodies.items()}
     return snapshot.from_parts(1, parts)
@@ -74,66 +74,66 @@
 
 
 def configuration_bytes(vms: int) -> float:
-    """Bytes of the whole configuration in the key-value service."""
+    """Return the size of the whole configuration in the key-value service."""
     return sum(len(body) for body in snapshot.bodies_of(sample_document(vms)).values())
 
 
 def largest_part_bytes(vms: int) -> float:
-    """Bytes of the largest value in the key-value service."""
+    """Return the size of the largest value in the key-value service."""
     return max(len(body) for body in snapshot.bodies_of(sample_document(vms)).values())
 
 
 def configuration_memory_kb(vms: int) -> float:
-    """Memory of the decoded configuration."""
+    """Return the memory of the decoded configuration."""
     return _memory_kb(lambda: sample_configuration(vms))
 
 
 def zone_change_ms(vms: int) -> float:
-    """Processor time to put a take-out in force."""
+    """Return the processor time to apply the removal of an availability zone."""
     body = codec.to_json(snapshot.ZonesOut(("zone-1",)))
     return _change_ms(sample_configuration(vms), snapshot.ZONES_PART, body)
 
 
 def inventory_change_ms(vms: int) -> float:
-    """Processor time to put a change of one availability zone's inventory in force."""
+    """Return the processor time to apply a change of one availability zone's inventory."""
     configuration = sample_configuration(vms)
     name = f"{snapshot.INVENTORY_PREFIX}zone-1"
     return _change_ms(configuration, name, configuration.parts[name].body)
 
 
-def check_ms(vms: int) -> float:
-    """Processor time to check a whole document."""
-    checked = sample_document(vms)
-    return _cpu_ms(lambda: document.check(checked))
+def document_check_ms(vms: int) -> float:
+    """Return the processor time to validate a whole document."""
+    sample = sample_document(vms)
+    return _cpu_ms(lambda: document.check(sample))
 
 
 def view_memory_kb(vms: int) -> float:
-    """Memory of the latest report of every VM."""
-    return _memory_kb(lambda: _filled_view(vms))
+    """Return the memory of the latest report of every VM."""
+    return _memory_kb(lambda: _populated_view(vms))
 
 
 def plan_memory_kb(vms: int) -> float:
-    """Memory of the plan of the whole fleet."""
-    return _memory_kb(lambda: _filled_plan(vms))
+    """Return the memory of the plan of the whole fleet."""
+    return _memory_kb(lambda: _populated_plans(vms))
 
 
-def report_ms(vms: int) -> float:
-    """Processor time to decode and take in one report of every VM."""
-    seen = view.View()
+def report_processing_ms(vms: int) -> float:
+    """Return the processor time to decode and record one report of every VM."""
+    fleet_view = view.View()
     bodies = [codec.to_json(sample_report(number)) for number in range(vms)]
-    moment = iter(range(1_000_000))
+    timestamps = iter(range(1_000_000))
 
-    def take_in() -> None:
-        now_s = float(next(moment))
+    def record_reports() -> None:
+        now_s = float(next(timestamps))
         for body in bodies:
             report = codec.from_json(body, client.Report)
-            seen.record_report(report.vm, report, now_s)
+            fleet_view.record_report(report.vm, report, now_s)
 
-    return _cpu_ms(take_in)
+    return _cpu_ms(record_reports)
 
 
-def roster_ms(entries: int) -> float:
-    """Processor time to take in a list of as many entries."""
+def roster_decode_ms(entries: int) -> float:
+    """Return the processor time to decode a roster of ``entries`` entries."""
     member = roster.Member("entry-0", "zone-0", "10.0.0.1:1", "10.0.0.1:2", "10.0.0.1:3")
     bodies = [
         codec.to_json(attrs.evolve(member, entry=f"entry-{number}")) for number in range(entries)
@@ -141,29 +141,29 @@
     return _cpu_ms(lambda: [codec.from_json(body, roster.Member) for body in bodies])
 
 
-MEASUREMENTS: tuple[tuple[str, str, slopes.Measured], ...] = (
+MEASUREMENTS: tuple[tuple[str, str, slopes.Measurement], ...] = (
     ("configuration in the key-value service", "bytes", configuration_bytes),
     ("largest value", "bytes", largest_part_bytes),
     ("configuration, decoded", "KB", configuration_memory_kb),
     ("put a take-out in force", "ms", zone_change_ms),
     ("put one zone's inventory in force", "ms", inventory_change_ms),
-    ("check a document", "ms", check_ms),
+    ("check a document", "ms", document_check_ms),
     ("latest reports", "KB", view_memory_kb),
     ("plan", "KB", plan_memory_kb),
-    ("take in one report of each VM", "ms", report_ms),
-    ("take in a list of as many entries", "ms", roster_ms),
+    ("take in one report of each VM", "ms", report_processing_ms),
+    ("take in a list of as many entries", "ms", roster_decode_ms),
 )
 
 
-def _filled_view(vms: int) -> view.View:
-    seen = view.View()
+def _populated_view(vms: int) -> view.View:
+    fleet_view = view.View()
     for number in range(vms):
         body = codec.to_json(sample_report(number))
-        seen.record_report(f"vm-{number:05d}", codec.from_json(body, client.Report), 1.0)
-    return seen
+        fleet_view.record_report(f"vm-{number:05d}", codec.from_json(body, client.Report), 1.0)
+    return fleet_view
 
 
-def _filled_plan(vms: int) -> plan.PlanHolder:
+def _populated_plans(vms: int) -> plan.PlanHolder:
     rng = random.Random(1)
     plans = plan.PlanHolder()
     for domain in range(vms // VMS_PER_DOMAIN):
@@ -183,7 +183,7 @@
 
 
 def _change_ms(configuration: snapshot.Configuration, name: str, body: bytes) -> float:
-    # A new part each time, since a part keeps what it has decoded.
+    # Create a new part each time, since a part caches its decoded value.
     return _cpu_ms(
         lambda: configuration.merged(snapshot.Delta(1, 2, (snapshot.Part(name, 2, body),)))
     )
@@ -194,10 +194,10 @@
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        built = build()
+        result = build()
         gc.collect()
         used = tracemalloc.get_traced_memory()[0] - before
-        del built
+        del result
     finally:
         tracemalloc.stop()
     return used / 1e3
--- a/tools/catalogue.py
+++ b/tools/catalogue.py
@@ -43,15 +43,15 @@
 
 
 def fields_by_event() -> collections.abc.Mapping[str, set[str]]:
-    """Return the names of the fields that the code passes with each event."""
-    found: dict[str, set[str]] = collections.defaultdict(set)
+    """Return the names of the fields that the code logs with each event, by event name."""
+    fields: dict[str, set[str]] = collections.defaultdict(set)
     for path in sorted((ROOT / "toucanhold").rglob("*.py")):
         for function in _functions(ast.parse(path.read_text())):
             for call in _log_calls(function):
                 names = _field_names(call, function)
                 for event in _event_names(call.args[1], function):
-                    found[event] |= names
-    return found
+                    fields[event] |= names
+    return fields
 
 
 def _functions(tree: ast.AST) -> collections.abc.Iterator[ast.AST]:
@@ -67,12 +67,12 @@
 
 
 def _event_names(node: ast.AST, function: ast.AST) -> set[str]:
-    # The event is named in the call, or chosen before it and passed by a variable.
-    searched = function if isinstance(node, ast.Name) else node
+    # The call names the event, or passes a variable that the function assigned before.
+    search_root = function if isinstance(node, ast.Name) else node
     return {
-        each.attr
-        for each in ast.walk(searched)
-        if isinstance(each, ast.Attribute) and ast.unparse(each.value) == "events.Event"
+        attribute.attr
+        for attribute in ast.walk(search_root)
+        if isinstance(attribute, ast.Attribute) and ast.unparse(attribute.value) == "events.Event"
     }
 
 
--- a/tools/commandline.py
+++ b/tools/commandline.py
@@ -1,4 +1,4 @@
-"""Running a program that has one command."""
+"""Runs a program that consists of one command."""
 
 import sys
 
@@ -8,9 +8,9 @@
 
 
 def run(command: cleo.commands.command.Command) -> int:
-    """Run a command on the words of this process, and return its exit status."""
+    """Run a command with this process's arguments and return its exit status."""
     app = cleo.application.Application(command.name)
     app.auto_exits(False)
     app.add(command)
-    words = [command.name, command.name, *sys.argv[1:]]
-    return app.run(cleo.io.inputs.argv_input.ArgvInput(words))
+    arguments = [command.name, command.name, *sys.argv[1:]]
+    return app.run(cleo.io.inputs.argv_input.ArgvInput(arguments))
--- a/tools/matrix.py
+++ b/tools/matrix.py
@@ -1,8 +1,9 @@
-"""The fault matrix.
+"""Runs the fault matrix and prints its results.
 
 `python -m tools.matrix` runs every cell with one fault and prints the table; `--part` runs the
-fixed part that CI runs, `--pairs N` a fixed sample of N cells with two faults, `--seeds FROM TO`
-random sequences of faults, and `python -m tools.matrix CELL…` the named cells, with histories.
+fixed subset that CI runs, `--pairs N` a fixed sample of N cells with two faults, and
+`--seeds FROM TO` random sequences of faults. `python -m tools.matrix CELL…` runs the named cells
+and prints their histories.
 """
 
 import collections
@@ -20,91 +21,93 @@
 from tests.proof import matrix, sequences
 
 WORKERS = 6
-CELL_LIMIT_S = 60
-PART_STEP = 8
+CELL_TIMEOUT_S = 60
+CI_SUBSET_STRIDE = 8
 SAMPLE_SEED = 6
-SIGNS = {True: "·", False: "F"}
+RESULT_SYMBOLS = {True: "·", False: "F"}
 
 
-class CellTooLongError(Exception):
-    """A cell's run does not end."""
+class CellTimeoutError(Exception):
+    """A cell did not finish within :data:`CELL_TIMEOUT_S`."""
 
 
-def part() -> list[matrix.Cell]:
-    """Return a fixed part that has each step and each fault several times."""
-    return matrix.cells()[::PART_STEP]
+def ci_subset() -> list[matrix.Cell]:
+    """Return the fixed subset for CI, which covers each step and each fault several times."""
+    return matrix.cells()[::CI_SUBSET_STRIDE]
 
 
-def sample(count: int) -> list[matrix.Cell]:
+def sample_pairs(count: int) -> list[matrix.Cell]:
     """Return a fixed sample of the cells with two faults."""
     return random.Random(SAMPLE_SEED).sample(matrix.pairs(), count)
 
 
 def run_all(cells: collections.abc.Sequence[matrix.Cell]) -> dict[str, matrix.Verdict]:
-    """Run cells in a few processes; the verdicts by name, in the cells' order."""
-    found: dict[str, matrix.Verdict] = {}
-    trio.run(_run_all, cells, found)
+    """Run cells in :data:`WORKERS` processes; return the verdicts by cell name, in cell order."""
+    verdicts: dict[str, matrix.Verdict] = {}
+    trio.run(_run_workers, cells, verdicts)
     missing = matrix.Verdict("", False, ("its process ended",))
-    return {cell.name: found.get(cell.name, missing) for cell in cells}
+    return {cell.name: verdicts.get(cell.name, missing) for cell in cells}
 
 
-async def _run_all(cells, found: dict[str, matrix.Verdict]) -> None:
+async def _run_workers(cells, verdicts: dict[str, matrix.Verdict]) -> None:
     names = [cell.name for cell in cells]
     async with trio.open_nursery() as nursery:
         for worker in range(WORKERS):
-            nursery.start_soon(_run_worker, names[worker::WORKERS], found)
+            nursery.start_soon(_run_worker, names[worker::WORKERS], verdicts)
 
 
-async def _run_worker(names: list[str], found: dict[str, matrix.Verdict]) -> None:
-    # Sets of strings are ordered by hash; a fixed seed makes each run the same.
-    variables = os.environ | {"PYTHONHASHSEED": "0"}
-    words = [sys.executable, "-m", "tools.matrix", "--worker"]
-    start = functools.partial(
+async def _run_worker(names: list[str], verdicts: dict[str, matrix.Verdict]) -> None:
+    # Sets of strings iterate in hash order; a fixed hash seed makes runs reproducible.
+    environment = os.environ | {"PYTHONHASHSEED": "0"}
+    command = [sys.executable, "-m", "tools.matrix", "--worker"]
+    run_worker_process = functools.partial(
         trio.run_process,
-        words,
+        command,
         stdin="\n".join(names).encode(),
         capture_stdout=True,
-        env=variables,
+        env=environment,
         check=False,
     )
-    done = await start()
-    for line in done.stdout.decode().splitlines():
+    completed = await run_worker_process()
+    for line in completed.stdout.decode().splitlines():
         fields = json.loads(line)
         verdict = matrix.Verdict(fields["name"], fields["reached"], tuple(fields["problems"]))
-        found[verdict.name] = verdict
+        verdicts[verdict.name] = verdict
 
 
-def _work() -> int:
-    def end(*_: object) -> None:
-        raise CellTooLongError(f"longer than {CELL_LIMIT_S} s")
+def _run_cells_from_stdin() -> int:
+    def raise_timeout(*_: object) -> None:
+        raise CellTimeoutError(f"the cell did not finish within {CELL_TIMEOUT_S} s")
 
-    signal.signal(signal.SIGALRM, end)
+    signal.signal(signal.SIGALRM, raise_timeout)
     for name in sys.stdin.read().split():
-        signal.alarm(CELL_LIMIT_S)
+        signal.alarm(CELL_TIMEOUT_S)
         verdict, _ = matrix.run(matrix.by_name(name))
         signal.alarm(0)
         print(json.dumps(attrs.asdict(verdict)), flush=True)
     return 0
 
 
-def table(cells: collections.abc.Sequence[matrix.Cell], verdicts) -> collections.abc.Iterator[str]:
-    """Yield the lines of the table: a row a step, a column a fault."""
-    faults = [each.name for each in matrix.FAULTS]
-    width = max(len(f"{cell.procedure.name}.{cell.step}") for cell in cells)
+def table_lines(
+    cells: collections.abc.Sequence[matrix.Cell], verdicts
+) -> collections.abc.Iterator[str]:
+    """Yield the lines of the table, with one row per step and one column per fault."""
+    faults = [fault.name for fault in matrix.FAULTS]
+    name_width = max(len(f"{cell.procedure.name}.{cell.step}") for cell in cells)
     for number, name in enumerate(faults):
-        yield " " * width + "   " + "  " * number + f"┌ {name}"
+        yield " " * name_width + "   " + "  " * number + f"┌ {name}"
     rows: dict[str, dict[str, str]] = collections.defaultdict(dict)
     for cell in cells:
         verdict = verdicts[cell.name]
-        sign = SIGNS[not verdict.problems] if verdict.reached else "?"
-        rows[f"{cell.procedure.name}.{cell.step}"][cell.faults[0].name] = sign
-    for row, signs in rows.items():
-        yield f"{row:{width}}   " + " ".join(signs.get(name, " ") for name in faults)
+        symbol = RESULT_SYMBOLS[not verdict.problems] if verdict.reached else "?"
+        rows[f"{cell.procedure.name}.{cell.step}"][cell.faults[0].name] = symbol
+    for row, symbols in rows.items():
+        yield f"{row:{name_width}}   " + " ".join(symbols.get(name, " ") for name in faults)
     yield "· passed   F failed   ? the step did not come about   blank: not run"
 
 
-def report(cells: collections.abc.Sequence[matrix.Cell], verdicts) -> int:
-    """Print what failed and what is not covered, and the closing line."""
+def print_report(cells: collections.abc.Sequence[matrix.Cell], verdicts) -> int:
+    """Print failed, uncovered and skipped cells and a summary; return 1 if any failed, else 0."""
     for verdict in verdicts.values():
         if verdict.problems:
             print(f"FAILED {verdict.name}")
@@ -115,8 +118,8 @@
         print(f"not covered: {name}")
     ran = {cell.name for cell in cells}
     if all(len(cell.faults) == 1 for cell in cells):
-        unrun = [cell.name for cell in matrix.cells() if cell.name not in ran]
-        for name in unrun:
+        not_run = [cell.name for cell in matrix.cells() if cell.name not in ran]
+        for name in not_run:
             print(f"not run here: {name}")
     failed = sum(not verdict.passed for verdict in verdicts.values())
     print(f"{len(verdicts) - failed} passed, {failed} failed")
@@ -133,12 +136,12 @@
     return min(1, failed)
 
 
-def _show(names: list[str]) -> int:
+def _run_named_cells(names: list[str]) -> int:
     failed = 0
     for name in names:
-        verdict, own = matrix.run(matrix.by_name(name))
-        if own is not None:
-            print(*own.history.lines(), sep="\n")
+        verdict, site_run = matrix.run(matrix.by_name(name))
+        if site_run is not None:
+            print(*site_run.history.lines(), sep="\n")
         print(
             f"{name}: {'passed' if verdict.passed else 'failed'}", *verdict.problems, sep="\n    "
         )
@@ -148,20 +151,20 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run what the arguments name; 0 when all passed."""
+    """Run the cells that the arguments select; return 0 if all passed, else 1."""
     if arguments == ["--worker"]:
-        return _work()
+        return _run_cells_from_stdin()
     if arguments[:1] == ["--pairs"]:
-        cells = sample(int(arguments[1]))
-        return report(cells, run_all(cells))
+        cells = sample_pairs(int(arguments[1]))
+        return print_report(cells, run_all(cells))
     if arguments[:1] == ["--seeds"]:
         return _run_seeds(int(arguments[1]), int(arguments[2]))
     if arguments and arguments != ["--part"]:
-        return _show(arguments)
-    cells = part() if arguments else matrix.cells()
+        return _run_named_cells(arguments)
+    cells = ci_subset() if arguments else matrix.cells()
     verdicts = run_all(cells)
-    print(*table(cells, verdicts), sep="\n")
-    return report(cells, verdicts)
+    print(*table_lines(cells, verdicts), sep="\n")
+    return print_report(cells, verdicts)
 
 
 if __name__ == "__main__":
--- a/tools/measure/__init__.py
+++ b/tools/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: each module has ``run(seed) -> list[table.Table]``."""
+"""Measurements; each module provides ``run(seed) -> list[table.Table]``."""
--- a/tools/measure/__main__.py
+++ b/tools/measure/__main__.py
@@ -16,7 +16,7 @@
 
 
 class MeasureCommand(cleo.commands.command.Command):
-    """Prints the tables of the named measurements, all without a name."""
+    """Prints the tables of the named measurements, or of all if none is named."""
 
     name = "measure"
     description = "Run measurements and print their tables."
@@ -29,7 +29,7 @@
     ]
 
     def handle(self) -> int:
-        """Run each measurement in turn."""
+        """Run each measurement in turn; return 2 for an unknown name, else 0."""
         known = available()
         names = self.argument("names") or known
         if unknown := sorted(set(names) - set(known)):
--- a/tools/measure/observing.py
+++ b/tools/measure/observing.py
@@ -1,4 +1,4 @@
-"""Cost of a polled load report against one that a peer passes on."""
+"""Compares the cost of polling a load report with that of relaying it between entries."""
 
 import time
 
@@ -11,14 +11,14 @@
 from toucanhold.backends import client, http
 
 POLLS = 2000
-BATCH = 50
-BATCHES = 200
+REPORTS_PER_BATCH = 50
+BATCH_COUNT = 200
 POLL_TIMEOUT_S = 5.0
 
 
 @attrs.frozen
 class RelayedReport:
-    """A report and how old it is, as a message between entries could carry it."""
+    """A report and its age, as a message between entries could carry it."""
 
     report: client.Report
     age_s: float
@@ -26,15 +26,15 @@
 
 @attrs.frozen
 class RelayedReports:
-    """A batch of them."""
+    """A batch of relayed reports."""
 
     reports: tuple[RelayedReport, ...]
 
 
 def run(seed: int) -> list[table.Table]:
-    """Return processor time and bytes for each report, both ways."""
-    poll_us, report = trio.run(_polls)
-    encode_us, decode_us, size_bytes = _relays(report)
+    """Return processor time in us and payload in bytes per report, polled and relayed."""
+    poll_us, report = trio.run(_measure_polling)
+    encode_us, decode_us, size_bytes = _measure_relaying(report)
     rows = (
         ("polled, at the poller", poll_us, 0.0),
         ("passed on, at the sender", encode_us, size_bytes),
@@ -42,12 +42,13 @@
     )
     note = (
         f"Processor time of the entry's side: {POLLS} polls of one engine stand-in over HTTP on"
-        f" kept connections; {BATCHES} batches of {BATCH} reports in msgpack. One run."
+        f" kept connections; {BATCH_COUNT} batches of {REPORTS_PER_BATCH} reports in msgpack."
+        " One run."
     )
     return [table.Table("Cost of a load report", ("way", "cpu_us", "payload_bytes"), rows, note)]
 
 
-async def _polls() -> tuple[float, client.Report]:
+async def _measure_polling() -> tuple[float, client.Report]:
     site = sites.new_site(sites.log_folder(), ("zone-a",), 1, "none", 0, 0)
     backends = http.HttpBackendClient()
     async with sites.running(site):
@@ -61,15 +62,15 @@
     return used_s / POLLS * 1e6, report
 
 
-def _relays(report: client.Report) -> tuple[float, float, float]:
-    batch = RelayedReports(tuple(RelayedReport(report, 0.25) for _ in range(BATCH)))
+def _measure_relaying(report: client.Report) -> tuple[float, float, float]:
+    batch = RelayedReports(tuple(RelayedReport(report, 0.25) for _ in range(REPORTS_PER_BATCH)))
     started_s = time.process_time()
-    for _ in range(BATCHES):
+    for _ in range(BATCH_COUNT):
         body = codec.pack_tagged("RelayedReports", batch)
     encoded_s = time.process_time()
-    for _ in range(BATCHES):
+    for _ in range(BATCH_COUNT):
         codec.from_plain_tolerant(codec.unpack_tagged(body)[1], RelayedReports)
     decoded_s = time.process_time()
-    reports = BATCH * BATCHES
+    reports = REPORTS_PER_BATCH * BATCH_COUNT
     encode_us = (encoded_s - started_s) / reports * 1e6
-    return encode_us, (decoded_s - encoded_s) / reports * 1e6, len(body) / BATCH
+    return encode_us, (decoded_s - encoded_s) / reports * 1e6, len(body) / REPORTS_PER_BATCH
--- a/tools/measure/orders.py
+++ b/tools/measure/orders.py
@@ -1,4 +1,4 @@
-"""Orders: rate and calls for each way of claiming, through outages, and under seeded faults."""
+"""Measures orders by claim method: rate and calls, outages, seeded faults, processor time."""
 
 import collections
 import collections.abc
@@ -25,15 +25,21 @@
 FAULT_RUNS = 10
 FAULT_ORDERS = 60
 FAULT_RUN_S = 120.0
-HEALED_S = 120.0
-COST_ORDERS = 2000
+RECOVERY_S = 120.0
+ORDERS_PER_COST_RUN = 2000
 
 SINGLE, COMBINED, ISSUED, NO_KEY = "one call each", "combined", "issued keys", "no key"
 
 
 def run(seed: int) -> list[table.Table]:
     """Return all tables."""
-    return [_rates(seed), _outage(seed), _majority(seed), _faults(seed), _cost()]
+    return [
+        _rates_table(seed),
+        _outage_table(seed),
+        _majority_table(seed),
+        _faults_table(seed),
+        _cost_table(),
+    ]
 
 
 def _on_test_clock(measure: collections.abc.Callable, *arguments: object):
@@ -49,9 +55,9 @@
     entries: list[orders.FakeEntry]
     nursery: trio.Nursery
 
-    async def add(self, name: str, way: str = COMBINED) -> orders.FakeEntry:
+    async def add(self, name: str, claim_method: str = COMBINED) -> orders.FakeEntry:
         entry = orders.new_entry(name, self.store, self.sender, CLAIM_CALLS_PER_S)
-        if way == SINGLE:
+        if claim_method == SINGLE:
             bucket = limits.TokenBucket(lambda: CLAIM_CALLS_PER_S / ENTRIES, 28)
             claims = entry.keeper.claimed.claims
             claims.committer = commits.SingleCommitter(self.store, bucket)
@@ -63,30 +69,32 @@
         return entry
 
 
-async def _with_site(way: str, body: collections.abc.Callable) -> object:
+async def _run_with_site(claim_method: str, body: collections.abc.Callable) -> object:
     async with trio.open_nursery() as nursery:
         store = orders.FakeKeyValue(calls_per_s=PLATFORM_CALLS_PER_S)
         site = _Site(store, orders.FakeSender(run_s=0.01), [], nursery)
         for number in range(ENTRIES):
-            await site.add(f"entry-{number}", way)
+            await site.add(f"entry-{number}", claim_method)
         result = await body(site)
         nursery.cancel_scope.cancel()
     return result
 
 
-def _key(site: _Site, entry: orders.FakeEntry, way: str, number: int) -> str:
-    if way == ISSUED:
+def _key(site: _Site, entry: orders.FakeEntry, claim_method: str, number: int) -> str:
+    if claim_method == ISSUED:
         return entry.issue()
-    return "" if way == NO_KEY else f"order-{number}"
+    return "" if claim_method == NO_KEY else f"order-{number}"
 
 
-async def _offer(site: _Site, way: str, per_s: float, for_s: float, rng: random.Random):
-    """Send orders at random moments; return (outcome, seconds) of each."""
+async def _generate_orders(
+    site: _Site, claim_method: str, per_s: float, for_s: float, rng: random.Random
+):
+    """Send orders at exponential intervals; return outcome and duration in s of each order."""
     ends: list[tuple[str, float]] = []
 
     async def send(number: int) -> None:
         entry = rng.choice(site.entries)
-        request = orders.new_request(_key(site, entry, way, number), timeout_s=30)
+        request = orders.new_request(_key(site, entry, claim_method, number), timeout_s=30)
         started_s = trio.current_time()
         status, outcome, _ = await entry.order(request)
         ends.append((outcome if status != 200 else "ran", trio.current_time() - started_s))
@@ -101,11 +109,11 @@
     return ends
 
 
-def _rates(seed: int) -> table.Table:
+def _rates_table(seed: int) -> table.Table:
     rows = []
-    for way in (SINGLE, COMBINED, ISSUED, NO_KEY):
+    for claim_method in (SINGLE, COMBINED, ISSUED, NO_KEY):
         for per_s in OFFERED_PER_S:
-            rows.append(_on_test_clock(_rate, way, per_s, seed))
+            rows.append(_on_test_clock(_rate, claim_method, per_s, seed))
     return table.Table(
         "Order rate by way of claiming",
         ("way", "offered_per_s", "run_per_s", "refused", "unknown", "calls_per_order")
@@ -117,27 +125,27 @@
     )
 
 
-async def _rate(way: str, per_s: float, seed: int) -> tuple:
+async def _rate(claim_method: str, per_s: float, seed: int) -> tuple:
     async def body(site: _Site) -> tuple:
-        ends = await _offer(site, way, per_s, RATE_RUN_S, random.Random(seed))
-        took_s = trio.current_time()
+        ends = await _generate_orders(site, claim_method, per_s, RATE_RUN_S, random.Random(seed))
+        elapsed_s = trio.current_time()
         await trio.sleep(30)
         outcomes = collections.Counter(outcome for outcome, _ in ends)
         times_ms = sorted(1000 * seconds for outcome, seconds in ends if outcome == "ran")
         calls = site.store.calls.total() / max(1, outcomes["ran"])
         p99_ms = times_ms[int(len(times_ms) * 0.99)] if times_ms else 0.0
-        middle_ms = statistics.median(times_ms) if times_ms else 0.0
-        ran_per_s = outcomes["ran"] / max(RATE_RUN_S, took_s)
+        median_ms = statistics.median(times_ms) if times_ms else 0.0
+        ran_per_s = outcomes["ran"] / max(RATE_RUN_S, elapsed_s)
         refused, unknown = outcomes["did-not-run"], outcomes["unknown"]
-        return way, per_s, ran_per_s, refused, unknown, calls, middle_ms, p99_ms
+        return claim_method, per_s, ran_per_s, refused, unknown, calls, median_ms, p99_ms
 
-    return await _with_site(way, body)
+    return await _run_with_site(claim_method, body)
 
 
-def _outage(seed: int) -> table.Table:
+def _outage_table(seed: int) -> table.Table:
     rows = []
-    for way in (COMBINED, ISSUED, NO_KEY):
-        rows.append(_on_test_clock(_outage_row, way, seed))
+    for claim_method in (COMBINED, ISSUED, NO_KEY):
+        rows.append(_on_test_clock(_outage_row, claim_method, seed))
     return table.Table(
         "Orders through a platform outage",
         ("way", "sent", "ran", "refused", "unknown", "ran_twice", "calls"),
@@ -147,27 +155,35 @@
     )
 
 
-async def _outage_row(way: str, seed: int) -> tuple:
+async def _outage_row(claim_method: str, seed: int) -> tuple:
     async def body(site: _Site) -> tuple:
         site.store.down = True
         rng = random.Random(seed)
-        ends = await _offer(site, way, OUTAGE_ORDERS_PER_S, OUTAGE_S, rng)
+        ends = await _generate_orders(site, claim_method, OUTAGE_ORDERS_PER_S, OUTAGE_S, rng)
         count = collections.Counter(outcome for outcome, _ in ends)
-        twice = len(site.sender.runs) - len(set(site.sender.runs))
+        repeat_count = len(site.sender.runs) - len(set(site.sender.runs))
         calls = site.store.calls.total()
-        return way, len(ends), count["ran"], count["did-not-run"], count["unknown"], twice, calls
+        return (
+            claim_method,
+            len(ends),
+            count["ran"],
+            count["did-not-run"],
+            count["unknown"],
+            repeat_count,
+            calls,
+        )
 
-    return await _with_site(way, body)
+    return await _run_with_site(claim_method, body)
 
 
-def _majority(seed: int) -> table.Table:
-    """Model of claims that are kept in the memory of a majority of entries."""
+def _majority_table(seed: int) -> table.Table:
+    """Simulate claims that are held in the memory of a majority of entries."""
     rows = []
     for replaced_every_s in (600.0, 60.0, 10.0, 5.0):
         rng = random.Random(seed)
-        doubled = sum(_majority_doubles(rng, replaced_every_s) for _ in range(20_000))
-        frames = 2 * (ENTRIES // 2)
-        rows.append((replaced_every_s, 20_000, doubled, frames))
+        repeated_runs = sum(_runs_twice_with_majority(rng, replaced_every_s) for _ in range(20_000))
+        frames_per_order = 2 * (ENTRIES // 2)
+        rows.append((replaced_every_s, 20_000, repeated_runs, frames_per_order))
     return table.Table(
         "Claims in the memory of a majority of entries (a model)",
         ("replaced_every_s", "repeated_orders", "ran_twice", "frames_per_order"),
@@ -177,25 +193,28 @@
     )
 
 
-def _majority_doubles(rng: random.Random, replaced_every_s: float) -> bool:
-    """Tell whether a repeat finds a majority that has forgotten the claim."""
+def _runs_twice_with_majority(rng: random.Random, replaced_every_s: float) -> bool:
+    """Return whether a repeat finds a majority of entries that have lost the claim."""
     holders = set(rng.sample(range(ENTRIES), ENTRIES // 2 + 1))
     sent_s = rng.uniform(0, ENTRIES * replaced_every_s)
     repeated_s = sent_s + rng.uniform(0, 60)
     first, last = int(sent_s / replaced_every_s), int(repeated_s / replaced_every_s)
     replaced = {turn % ENTRIES for turn in range(first + 1, last + 1)}
-    # The repeat runs if a majority can be found among those that know nothing.
+    # The repeat runs if the entries without the claim form a majority.
     return ENTRIES - len(holders - replaced) >= ENTRIES // 2 + 1
 
 
-def _faults(seed: int) -> table.Table:
+def _faults_table(seed: int) -> table.Table:
     total: collections.Counter[str] = collections.Counter()
-    for way in (COMBINED, ISSUED):
+    for claim_method in (COMBINED, ISSUED):
         for number in range(FAULT_RUNS):
-            found = _on_test_clock(_fault_run, way, seed * 1000 + number)
-            total.update({(way, name): count for name, count in found.items()})
+            found = _on_test_clock(_fault_run, claim_method, seed * 1000 + number)
+            total.update({(claim_method, name): count for name, count in found.items()})
     names = ("orders", "sendings", "ran", "doubled", "false_did_not_run", "lost", "end_unknown")
-    rows = [(way, *(total[way, name] for name in names)) for way in (COMBINED, ISSUED)]
+    rows = [
+        (claim_method, *(total[claim_method, name] for name in names))
+        for claim_method in (COMBINED, ISSUED)
+    ]
     return table.Table(
         "Orders under faults",
         ("way", *names),
@@ -208,13 +227,13 @@
     )
 
 
-async def _fault_run(way: str, seed: int) -> collections.Counter:
+async def _fault_run(claim_method: str, seed: int) -> collections.Counter:
     async def body(site: _Site) -> collections.Counter:
         rng = random.Random(seed)
         site.sender.behaviours = rng.choices(
             ("ok", "not-sent", "lost-after-run", "lost-before-run"), (8, 1, 1, 1), k=10_000
         )
-        check = _Check(site, way, rng)
+        check = _OrderCheck(site, claim_method, rng)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_make_faults, site, rng)
             async with trio.open_nursery() as callers:
@@ -223,7 +242,7 @@
             nursery.cancel_scope.cancel()
         return check.count()
 
-    return await _with_site(way, body)
+    return await _run_with_site(claim_method, body)
 
 
 async def _make_faults(site: _Site, rng: random.Random) -> None:
@@ -240,9 +259,9 @@
             await trio.sleep(rng.uniform(0, 10))
             site.store.down = False
         else:
-            victim = site.entries.pop(rng.randrange(len(site.entries)))
-            victim.kill()
-            name = victim.keeper.issued.roster.own.entry
+            killed_entry = site.entries.pop(rng.randrange(len(site.entries)))
+            killed_entry.kill()
+            name = killed_entry.keeper.issued.roster.own.entry
             for other in site.entries:
                 other.keeper.issued.roster.forget(name)
             await site.add(name)
@@ -250,11 +269,16 @@
 
 
 @attrs.define(eq=False)
-class _Check:
-    """Sends each order several times and checks what is said of it."""
+class _OrderCheck:
+    """Sends each order several times and compares the reported outcomes with the actual runs.
+
+    :ivar ids: request ids by order key, and the ids of refused requests under ``refused``
+    :ivar ends: last outcome by order key
+    :ivar false: did-not-run refusals of requests that had run
+    """
 
     site: _Site
-    way: str
+    claim_method: str
     rng: random.Random
     ids: dict[str, set[str]] = attrs.field(factory=lambda: collections.defaultdict(set))
     ends: dict[str, str] = attrs.field(factory=dict)
@@ -263,13 +287,13 @@
     async def order(self, number: int) -> None:
         await trio.sleep(self.rng.uniform(0, FAULT_RUN_S))
         issuer = self.rng.choice(self.site.entries)
-        key = issuer.issue() if self.way == ISSUED else f"order-{number}"
+        key = issuer.issue() if self.claim_method == ISSUED else f"order-{number}"
         for _ in range(self.rng.randrange(1, 4)):
             async with trio.open_nursery() as nursery:
                 for _ in range(self.rng.randrange(1, 4)):
                     nursery.start_soon(self.send, key, issuer)
             await trio.sleep(self.rng.expovariate(0.3))
-        await trio.sleep_until(FAULT_RUN_S + HEALED_S)
+        await trio.sleep_until(FAULT_RUN_S + RECOVERY_S)
         for _ in range(10):
             self.ends[key] = await self.send(key, issuer)
             if self.ends[key] in ("ran", "unknown"):
@@ -278,13 +302,13 @@
 
     async def send(self, key: str, issuer: orders.FakeEntry) -> str:
         entry = self.rng.choice(self.site.entries)
-        if self.way == ISSUED and issuer in self.site.entries and self.rng.random() < 0.7:
+        if self.claim_method == ISSUED and issuer in self.site.entries and self.rng.random() < 0.7:
             entry = issuer
         request = orders.new_request(key)
         self.ids[key].add(request.request_id)
         status, outcome, _ = await entry.order(request)
         if outcome == requests.Outcome.DID_NOT_RUN.value:
-            # Looked up at the end as well: an order that was refused must not run later.
+            # count() checks again at the end, since a refused order must not run later either.
             self.false += request.request_id in self.site.sender.runs
             self.ids["refused"].add(request.request_id)
         return "ran" if status == 200 else outcome
@@ -304,27 +328,29 @@
         )
 
 
-def _cost() -> table.Table:
+def _cost_table() -> table.Table:
     rows = []
-    for way in (NO_KEY, ISSUED, COMBINED):
-        each_us = [trio.run(_cost_us, way) for _ in range(5)]
-        rows.append((way, statistics.median(each_us), min(each_us), max(each_us)))
+    for claim_method in (NO_KEY, ISSUED, COMBINED):
+        costs_us = [trio.run(_cost_us, claim_method) for _ in range(5)]
+        rows.append((claim_method, statistics.median(costs_us), min(costs_us), max(costs_us)))
     return table.Table(
         "Processor time of an order at its entry",
         ("way", "median_us", "least_us", "most_us"),
         tuple(rows),
-        f"5 runs of {COST_ORDERS} orders, 20 at a time, without HTTP; the fakes' "
+        f"5 runs of {ORDERS_PER_COST_RUN} orders, 20 at a time, without HTTP; the fakes' "
         "own work is included.",
     )
 
 
-async def _cost_us(way: str) -> float:
+async def _cost_us(claim_method: str) -> float:
     async with trio.open_nursery() as nursery:
         store = orders.FakeKeyValue(latency_s=0.0)
         site = _Site(store, orders.FakeSender(run_s=0.0), [], nursery)
         entry = await site.add("entry-0")
         entry.keeper.claimed.claims.committer.bucket.rate_per_s = lambda: 1e6
-        keys = iter([_key(site, entry, way, number) for number in range(COST_ORDERS)])
+        keys = iter(
+            [_key(site, entry, claim_method, number) for number in range(ORDERS_PER_COST_RUN)]
+        )
 
         async def send() -> None:
             for key in keys:
@@ -335,6 +361,6 @@
             for _ in range(20):
                 callers.start_soon(send)
         await entry.keeper.runner.wait_idle(10)
-        took_s = time.process_time() - started_s
+        elapsed_s = time.process_time() - started_s
         nursery.cancel_scope.cancel()
-    return 1e6 * took_s / COST_ORDERS
+    return 1e6 * elapsed_s / ORDERS_PER_COST_RUN
--- a/tools/measure/placement.py
+++ b/tools/measure/placement.py
@@ -1,4 +1,4 @@
-"""Time and memory of one placement decision."""
+"""Measures time and memory of one placement decision."""
 
 import time
 import tracemalloc
@@ -18,7 +18,7 @@
 
 
 def run(seed: int) -> list[table.Table]:
-    """Return the cost of a decision; it involves no chance."""
+    """Return the cost of a decision; the seed has no effect."""
     kinds = ("first_ms", "steady_ms", "failure_ms", "peak_kb")
     columns = ["vms", "facts_ms"]
     columns += [
@@ -33,9 +33,9 @@
         " VM's loss (failure); the memory that the first takes at its peak; time to gather the"
         " facts. Groups of 8 VMs, fabric domains of 16, 11 availability zones, one run each."
     )
-    drawn = table.Plot("vms", tuple(each for each in columns if each.endswith("_ms")), True)
+    plot = table.Plot("vms", tuple(each for each in columns if each.endswith("_ms")), True)
     title = "Cost of a placement decision"
-    return [table.Table(title, tuple(columns), tuple(rows), note, drawn)]
+    return [table.Table(title, tuple(columns), tuple(rows), note, plot)]
 
 
 def _decision(size: int, policy: placement.PlacementPolicy) -> tuple[float, ...]:
@@ -54,37 +54,37 @@
     ]
     configuration = planners.new_configuration(vms, services)
     seen = {vm.vm: client.Report(vm.vm, "1") for vm in vms}
-    given = placement.PlacementInput(configuration, {}, frozenset(seen), reports=seen)
-    first_s, placed = _timed(policy, given)
-    peak_kb = _peak_kb(policy, given)
-    plans = {each.domain: each for each in placed.changed}
-    steady = attrs.evolve(given, plans=plans)
+    placement_input = placement.PlacementInput(configuration, {}, frozenset(seen), reports=seen)
+    first_s, placement_result = _timed(policy, placement_input)
+    peak_kb = _peak_kb(policy, placement_input)
+    plans = {each.domain: each for each in placement_result.changed}
+    steady = attrs.evolve(placement_input, plans=plans)
     steady_s, _ = _timed(policy, steady)
     lost = next(iter(plans.values())).groups[0].members[0]
-    failed = attrs.evolve(steady, usable=given.usable - {lost}, lost=frozenset({lost}))
+    failed = attrs.evolve(steady, usable=placement_input.usable - {lost}, lost=frozenset({lost}))
     failure_s, _ = _timed(policy, failed)
-    facts_s = _facts_s(configuration, placed)
-    return (first_s * 1e3, steady_s * 1e3, failure_s * 1e3, peak_kb, facts_s * 1e3)
+    input_build_s = _input_build_s(configuration, placement_result)
+    return (first_s * 1e3, steady_s * 1e3, failure_s * 1e3, peak_kb, input_build_s * 1e3)
 
 
-def _timed(policy: placement.PlacementPolicy, given: placement.PlacementInput):
+def _timed(policy: placement.PlacementPolicy, placement_input: placement.PlacementInput):
     started_s = time.perf_counter()
-    placed = policy.place(given)
-    return time.perf_counter() - started_s, placed
+    placement_result = policy.place(placement_input)
+    return time.perf_counter() - started_s, placement_result
 
 
-def _peak_kb(policy: placement.PlacementPolicy, given: placement.PlacementInput) -> float:
+def _peak_kb(policy: placement.PlacementPolicy, placement_input: placement.PlacementInput) -> float:
     tracemalloc.start()
-    policy.place(given)
+    policy.place(placement_input)
     peak_bytes = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     return peak_bytes / 1024
 
 
-def _facts_s(configuration, placed: placement.Placement) -> float:
-    async def gather() -> float:
+def _input_build_s(configuration, placement_result: placement.Placement) -> float:
+    async def build_input() -> float:
         plans, seen = plan.PlanHolder(), view.View()
-        for revision, each in enumerate(placed.changed, 1):
+        for revision, each in enumerate(placement_result.changed, 1):
             plans.apply(plan.VersionedDomainPlan(each, revision))
         for vm in configuration.inventory.vms:
             seen.record_report(vm.vm, client.Report(vm.vm, "1"), trio.current_time())
@@ -95,4 +95,4 @@
         input_builder.build(1)
         return time.perf_counter() - started_s
 
-    return trio.run(gather)
+    return trio.run(build_input)
--- a/tools/measure/planning.py
+++ b/tools/measure/planning.py
@@ -1,4 +1,4 @@
-"""Group downtime, stranded accelerators and moves, chosen placement beside first fit."""
+"""Compares downtime, stranded accelerators and moves under spreading and first-fit placement."""
 
 import collections
 import logging
@@ -23,8 +23,8 @@
 FULL_RATE_LOADS = 8
 WARM_UP_S = 120.0
 FAILURE_INTERVAL_S = 75.0
-ZONE_OUT_S = (600.0, 1200.0)
-DARK_S = (1700.0, 1940.0)
+ZONE_OUT_WINDOW_S = (600.0, 1200.0)
+DOMAIN_OUTAGE_S = (1700.0, 1940.0)
 OUTAGE_S = 900.0
 POLICIES: dict[str, type[placement.PlacementPolicy]] = {
     "first fit": placement.FirstFit,
@@ -34,11 +34,14 @@
 
 @attrs.define(eq=False)
 class Tally:
-    """What one run adds up to.
+    """Totals of one run.
 
-    :ivar down_s: group-seconds not serving against wanted, by service
+    :ivar down_s: group-seconds by which the serving groups fell short of the wanted, by service
+    :ivar zone_down_s: the part of it during the availability zone's absence
     :ivar stranded_s: accelerator-seconds on healthy VMs outside any serving group
-    :ivar unavoidable_s: the part of it that no wanted group could use
+    :ivar unavoidable_s: the part of ``stranded_s`` that no wanted group could use
+    :ivar joins: join orders sent to engines
+    :ivar loads: loads of model weights
     """
 
     down_s: collections.Counter = attrs.field(factory=collections.Counter)
@@ -52,7 +55,10 @@
 
 @attrs.define(eq=False)
 class Run:
-    """One site under failures, the zone's absence and the dark fabric domain."""
+    """A run of one site with VM failures, an absent zone and a fabric domain without power.
+
+    :ivar zone_out: availability zone that is out now; empty for none
+    """
 
     site: sites.Site
     policy: placement.PlacementPolicy
@@ -61,7 +67,7 @@
     zone_out: str = ""
 
     async def run_outage(self) -> Tally:
-        """Run failures of VMs during an outage of the key-value service, on the test clock."""
+        """Run VM failures during an outage of the key-value service, on the test clock."""
         async with trio.open_nursery() as nursery:
             vms = [attrs.evolve(vm, fencing=inventory.Fencing.CHECKED) for vm in self.site.vms()]
             platform = memory.MemoryPlatform()
@@ -77,7 +83,7 @@
         return self.tally
 
     async def run(self) -> Tally:
-        """Run on the test clock."""
+        """Run all faults on the test clock."""
         async with trio.open_nursery() as nursery:
             store = fleet.WeightStore(FULL_RATE_LOADS)
             configuration = self.site.configuration(max_loading_vms=FULL_RATE_LOADS)
@@ -87,13 +93,13 @@
             )
             nursery.start_soon(node.run)
             await trio.sleep(WARM_UP_S)
-            before = self._joins(engines), store.loads
+            counts_before = self._joins(engines), store.loads
             nursery.start_soon(self._fail_vms, list(engines.engines.values()))
             nursery.start_soon(self._take_zone_out, node)
-            nursery.start_soon(self._darken, list(engines.engines.values()))
+            nursery.start_soon(self._power_off_domain, list(engines.engines.values()))
             await self._sample(node, list(engines.engines.values()), DURATION_S)
-            self.tally.joins = self._joins(engines) - before[0]
-            self.tally.loads = store.loads - before[1]
+            self.tally.joins = self._joins(engines) - counts_before[0]
+            self.tally.loads = store.loads - counts_before[1]
             nursery.cancel_scope.cancel()
         return self.tally
 
@@ -114,25 +120,27 @@
                 self.tally.zone_down_s += missing * SAMPLE_S
 
     def _count_stranded(self, serving: list[plan.Group], engines: list) -> None:
-        used = {member for group in serving for member in group.members}
+        used_vms = {member for group in serving for member in group.members}
         healthy = [
             engine
             for engine in engines
             if engine.mode is fleet.Mode.UP and engine.vm.availability_zone != self.zone_out
         ]
-        idle = sum(each.vm.accelerators for each in healthy if each.vm.vm not in used)
-        wanted = sum(each.replicas * each.vms_per_replica for each in self.site.services)
-        sizes = sorted((each.vm.accelerators for each in healthy), reverse=True)
-        self.tally.stranded_s += idle * SAMPLE_S
-        self.tally.unavoidable_s += sum(sizes[wanted:]) * SAMPLE_S
+        idle_accelerators = sum(
+            each.vm.accelerators for each in healthy if each.vm.vm not in used_vms
+        )
+        wanted_vms = sum(each.replicas * each.vms_per_replica for each in self.site.services)
+        accelerator_counts = sorted((each.vm.accelerators for each in healthy), reverse=True)
+        self.tally.stranded_s += idle_accelerators * SAMPLE_S
+        self.tally.unavoidable_s += sum(accelerator_counts[wanted_vms:]) * SAMPLE_S
 
     async def _fail_vms(self, engines: list[fleet.MemoryEngine]) -> None:
         async with trio.open_nursery() as nursery:
             while True:
                 await trio.sleep(self.rng.expovariate(1 / FAILURE_INTERVAL_S))
-                up = [engine for engine in engines if engine.mode is fleet.Mode.UP]
+                healthy = [engine for engine in engines if engine.mode is fleet.Mode.UP]
                 self.tally.failures += 1
-                nursery.start_soon(self._fail, self.rng.choice(up))
+                nursery.start_soon(self._fail, self.rng.choice(healthy))
 
     async def _fail(self, engine: fleet.MemoryEngine) -> None:
         kind = self.rng.random()
@@ -150,20 +158,20 @@
             engine.restart()
 
     async def _take_zone_out(self, node: planners.Node) -> None:
-        await trio.sleep(ZONE_OUT_S[0])
+        await trio.sleep(ZONE_OUT_WINDOW_S[0])
         self.zone_out = "zone-1"
         _set_zones_out(node, {self.zone_out})
-        await trio.sleep(ZONE_OUT_S[1] - ZONE_OUT_S[0])
+        await trio.sleep(ZONE_OUT_WINDOW_S[1] - ZONE_OUT_WINDOW_S[0])
         self.zone_out = ""
         _set_zones_out(node, set())
 
-    async def _darken(self, engines: list[fleet.MemoryEngine]) -> None:
-        await trio.sleep(DARK_S[0])
-        dark = [engine for engine in engines if engine.vm.fabric_domain == "domain-2-0"]
-        for engine in dark:
+    async def _power_off_domain(self, engines: list[fleet.MemoryEngine]) -> None:
+        await trio.sleep(DOMAIN_OUTAGE_S[0])
+        powered_off = [engine for engine in engines if engine.vm.fabric_domain == "domain-2-0"]
+        for engine in powered_off:
             engine.mode = fleet.Mode.SILENT
-        await trio.sleep(DARK_S[1] - DARK_S[0])
-        for engine in dark:
+        await trio.sleep(DOMAIN_OUTAGE_S[1] - DOMAIN_OUTAGE_S[0])
+        for engine in powered_off:
             engine.restart()
 
     def _joins(self, engines: fleet.MemoryFleet) -> int:
@@ -181,7 +189,7 @@
 
 
 def tally(site: sites.Site, policy: placement.PlacementPolicy, seed: int) -> Tally:
-    """Return what one run of a site adds up to."""
+    """Run a site once and return its totals."""
     clock = trio.testing.MockClock(autojump_threshold=0)
     return trio.run(Run(site, policy, random.Random(seed)).run, clock=clock)
 
@@ -191,7 +199,7 @@
     rows = []
     for label, policy in POLICIES.items():
         tallies = [tally(site, policy(), each) for each in range(seed, seed + SEEDS)]
-        rows.append((label, *_row(tallies, site)))
+        rows.append((label, *_metric_cells(tallies, site)))
     columns = (
         "policy",
         *(f"{name}_down_s" for name in names),
@@ -206,31 +214,32 @@
     note = (
         f"Seeds {seed} to {seed + SEEDS - 1}, mean (least to most). {DURATION_S:.0f} s each: a VM"
         f" fails every {FAILURE_INTERVAL_S:.0f} s on average, one availability zone is out for"
-        f" {ZONE_OUT_S[1] - ZONE_OUT_S[0]:.0f} s, one fabric domain dark for"
-        f" {DARK_S[1] - DARK_S[0]:.0f} s; a load takes {LOAD_S:.0f} s or more. Columns ending in"
-        " down_s are group-seconds not serving against wanted; weighted by importance in one."
+        f" {ZONE_OUT_WINDOW_S[1] - ZONE_OUT_WINDOW_S[0]:.0f} s, one fabric domain dark for"
+        f" {DOMAIN_OUTAGE_S[1] - DOMAIN_OUTAGE_S[0]:.0f} s; a load takes {LOAD_S:.0f} s or more."
+        " Columns ending in down_s are group-seconds not serving against wanted; weighted by"
+        " importance in one."
     )
     return table.Table(f"Placement at {site.name}", columns, tuple(rows), note)
 
 
-def _row(tallies: list[Tally], site: sites.Site) -> list[str]:
+def _metric_cells(tallies: list[Tally], site: sites.Site) -> list[str]:
     services = sorted(site.services, key=lambda each: -each.importance)
-    figures = [[each.down_s[service.name] for each in tallies] for service in services]
-    figures.append([sum(each.down_s.values()) for each in tallies])
+    metrics = [[each.down_s[service.name] for each in tallies] for service in services]
+    metrics.append([sum(each.down_s.values()) for each in tallies])
     weights = {service.name: service.importance for service in services}
-    figures.append(
+    metrics.append(
         [sum(weights[name] * down_s for name, down_s in each.down_s.items()) for each in tallies]
     )
-    figures.append([each.zone_down_s for each in tallies])
-    figures.append([each.stranded_s for each in tallies])
-    figures.append([each.unavoidable_s for each in tallies])
-    figures.append([each.joins / each.failures for each in tallies])
-    figures.append([each.loads / each.failures for each in tallies])
-    return [spread(values) for values in figures]
+    metrics.append([each.zone_down_s for each in tallies])
+    metrics.append([each.stranded_s for each in tallies])
+    metrics.append([each.unavoidable_s for each in tallies])
+    metrics.append([each.joins / each.failures for each in tallies])
+    metrics.append([each.loads / each.failures for each in tallies])
+    return [format_spread(values) for values in metrics]
 
 
-def spread(values: list[float]) -> str:
-    """Return mean, least and most."""
+def format_spread(values: list[float]) -> str:
+    """Return mean, minimum and maximum as text."""
     return f"{statistics.mean(values):.4g} ({min(values):.4g} to {max(values):.4g})"
 
 
--- a/tools/measure/routing_cost.py
+++ b/tools/measure/routing_cost.py
@@ -1,4 +1,4 @@
-"""Measures an entry's processor time per request and per token, with processes of their own."""
+"""Measures an entry's processor time per request and per token; each process is separate."""
 
 import collections.abc
 import json
@@ -22,16 +22,16 @@
 
 
 @attrs.frozen
-class Spent:
-    """What a run took.
+class LoadCost:
+    """Cost of one run.
 
-    :ivar processor_s: the entry's processor time beyond what it uses without callers
+    :ivar cpu_s: the entry's processor time beyond what it uses without callers
     :ivar elapsed_s: wall-clock time
     :ivar durations_s: wall-clock time of each stream
-    :ivar reads: pieces in which the caller received its streams
+    :ivar reads: number of socket reads in which the callers received their streams
     """
 
-    processor_s: float
+    cpu_s: float
     elapsed_s: float
     durations_s: list[float]
     reads: int
@@ -51,9 +51,12 @@
         await site.operate("entry-0", "PUT", "document", body)
         await site.wait_status("entry-0", lambda seen: _serving(seen) >= ENGINES)
         pid = site.group.pid("entry-0")
-        idle = await _idle_part(pid)
-        rows = [await _stream_row(site.entries[0].callers, pid, count, idle) for count in STREAMS]
-        cost_us = await _plain_cost_us(site.entries[0].callers, pid, idle)
+        idle_cpu_share = await _idle_cpu_share(pid)
+        rows = [
+            await _stream_row(site.entries[0].callers, pid, count, idle_cpu_share)
+            for count in STREAMS
+        ]
+        cost_us = await _plain_cost_us(site.entries[0].callers, pid, idle_cpu_share)
     ideal_s = TOKENS * TOKEN_S
     streams = table.Table(
         "An entry's cost of streamed tokens",
@@ -75,51 +78,53 @@
     return sum(each["serving"] for each in status["services"] if each["service"] == "drafts")
 
 
-async def _stream_row(address: str, pid: int, count: int, idle: float) -> tuple:
-    spent = await _spend(pid, idle, [lambda: _read_stream(address)] * count)
+async def _stream_row(address: str, pid: int, count: int, idle_cpu_share: float) -> tuple:
+    cost = await _measure_cost(pid, idle_cpu_share, [lambda: _read_stream(address)] * count)
     tokens = count * TOKENS
-    delay_s = sum(spent.durations_s) / count - TOKENS * TOKEN_S
+    delay_s = sum(cost.durations_s) / count - TOKENS * TOKEN_S
     return (
         count,
-        tokens / spent.elapsed_s,
-        spent.processor_s / tokens * 1e6,
-        tokens / spent.reads,
+        tokens / cost.elapsed_s,
+        cost.cpu_s / tokens * 1e6,
+        tokens / cost.reads,
         delay_s,
     )
 
 
-async def _plain_cost_us(address: str, pid: int, idle: float) -> float:
-    spent = await _spend(pid, idle, [lambda: _read_plain(address)])
-    return spent.processor_s / PLAIN_REQUESTS * 1e6
+async def _plain_cost_us(address: str, pid: int, idle_cpu_share: float) -> float:
+    cost = await _measure_cost(pid, idle_cpu_share, [lambda: _read_plain(address)])
+    return cost.cpu_s / PLAIN_REQUESTS * 1e6
 
 
-async def _spend(pid: int, idle: float, jobs: list[collections.abc.Callable]) -> Spent:
+async def _measure_cost(
+    pid: int, idle_cpu_share: float, jobs: list[collections.abc.Callable]
+) -> LoadCost:
     durations_s: list[float] = []
     reads = 0
 
-    async def do(job) -> None:
+    async def run_job(job) -> None:
         nonlocal reads
         began_s = trio.current_time()
-        own = await job()
-        reads += own
+        job_reads = await job()
+        reads += job_reads
         durations_s.append(trio.current_time() - began_s)
 
-    before_s, began_s = _processor_s(pid), trio.current_time()
+    before_s, began_s = _process_cpu_s(pid), trio.current_time()
     async with trio.open_nursery() as nursery:
         for job in jobs:
-            nursery.start_soon(do, job)
+            nursery.start_soon(run_job, job)
     elapsed_s = trio.current_time() - began_s
-    processor_s = _processor_s(pid) - before_s - idle * elapsed_s
-    return Spent(processor_s, elapsed_s, durations_s, reads)
+    cpu_s = _process_cpu_s(pid) - before_s - idle_cpu_share * elapsed_s
+    return LoadCost(cpu_s, elapsed_s, durations_s, reads)
 
 
-async def _idle_part(pid: int) -> float:
-    before_s = _processor_s(pid)
+async def _idle_cpu_share(pid: int) -> float:
+    before_s = _process_cpu_s(pid)
     await trio.sleep(IDLE_S)
-    return (_processor_s(pid) - before_s) / IDLE_S
+    return (_process_cpu_s(pid) - before_s) / IDLE_S
 
 
-def _processor_s(pid: int) -> float:
+def _process_cpu_s(pid: int) -> float:
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -146,10 +151,10 @@
         await stream.send_all(head.encode() + content)
         reads, tail = 0, b""
         while b"[DONE]" not in tail:
-            part = await stream.receive_some()
-            if not part or b"HTTP/1.1 5" in part or b"HTTP/1.1 4" in part:
-                raise RuntimeError(f"the stream broke: {part[:200]!r}")
-            reads, tail = reads + 1, (tail + part)[-64:]
+            chunk = await stream.receive_some()
+            if not chunk or b"HTTP/1.1 5" in chunk or b"HTTP/1.1 4" in chunk:
+                raise RuntimeError(f"expected a stream up to [DONE], received {chunk[:200]!r}")
+            reads, tail = reads + 1, (tail + chunk)[-64:]
     return reads
 
 
@@ -158,7 +163,7 @@
     async with await _connect(address) as stream:
         for _ in range(PLAIN_REQUESTS):
             await stream.send_all(head)
-            part = b""
-            while b"}" not in part:
-                part += await stream.receive_some()
+            chunk = b""
+            while b"}" not in chunk:
+                chunk += await stream.receive_some()
     return PLAIN_REQUESTS
--- a/tools/measure/sites.py
+++ b/tools/measure/sites.py
@@ -1,4 +1,4 @@
-"""The two deployments' sizes, as configurations for measurements."""
+"""Configurations of the two deployments' sizes, for measurements."""
 
 import attrs
 
@@ -20,7 +20,7 @@
     small_every: int = 0
 
     def vms(self) -> list[inventory.Vm]:
-        """Return the engines."""
+        """Return the engine VMs."""
         vms = []
         for zone, sizes in enumerate(self.domain_sizes):
             for domain, size in enumerate(sizes):
@@ -28,22 +28,25 @@
         return vms
 
     def configuration(self, **other_rules) -> snapshot.Configuration:
-        """Return inventory and rules; the first availability zone is not drainable."""
+        """Return a configuration whose first availability zone is not drainable.
+
+        :param other_rules: further fields of the rules
+        """
         zones = tuple(
             rules.AvailabilityZone(f"zone-{zone}", drainable=zone > 0)
             for zone in range(len(self.domain_sizes))
         )
-        given = {"availability_zones": zones} | other_rules
-        return planners.new_configuration(self.vms(), self.services, **given)
+        rule_fields = {"availability_zones": zones} | other_rules
+        return planners.new_configuration(self.vms(), self.services, **rule_fields)
 
     def _vm(self, zone: int, domain: int, index: int, number: int) -> inventory.Vm:
-        small = self.small_every and number % self.small_every == 0
+        is_small = self.small_every and number % self.small_every == 0
         return inventory.Vm(
             vm=f"vm-{zone}-{domain}-{index}",
             address=f"127.0.{zone}.{domain}:{1000 + index}",
             availability_zone=f"zone-{zone}",
             fabric_domain=f"domain-{zone}-{domain}",
-            accelerators=4 if small else 8,
+            accelerators=4 if is_small else 8,
             fencing=inventory.Fencing.CHECKED if number % 2 else inventory.Fencing.IGNORED,
         )
 
--- a/tools/measure/state.py
+++ b/tools/measure/state.py
@@ -1,4 +1,4 @@
-"""Configuration, peers and the platform's calls, at the number of entries of today."""
+"""Measures configuration changes, calls to the platform and heartbeats, with 7 entries."""
 
 import datetime
 import json
@@ -23,13 +23,13 @@
 IDLE_S = 20.0
 SLOW_S = 1.0
 PEER_COUNTS = (3, 7, 20)
-PEERS_S = 120.0
-HELD, IN_FORCE = 4005, 4001
+HEARTBEAT_RUN_S = 120.0
+HELD_EVENT, IN_FORCE_EVENT = 4005, 4001
 ZONE = "zone-a"
 
 
 def run(seed: int) -> list[table.Table]:
-    """Return the tables; the times are those of real processes, so the seed fixes only jitter."""
+    """Return the tables; real processes are timed, so the seed fixes only the jitter."""
     return [*trio.run(_measure_site, seed), _heartbeats(seed)]
 
 
@@ -42,43 +42,43 @@
         await trio.sleep(5)
         idle = await _calls_during(site, trio.sleep, IDLE_S)
         rows = []
-        changing = await _calls_during(site, _change_healthy, site, rows)
+        changing = await _calls_during(site, _time_healthy_changes, site, rows)
         await _set_faults(site, mode="slow", delay_s=SLOW_S)
-        await _change(site, rows, "slow", both=True)
+        await _time_zone_changes(site, rows, "slow", with_return=True)
         await _set_faults(site, mode="down")
         await trio.sleep(2)
-        await _change(site, rows, "out", both=False)
+        await _time_zone_changes(site, rows, "out", with_return=False)
     return [_in_force_table(rows, seed), _calls_table(idle, changing, seed)]
 
 
-async def _change_healthy(site: sites.Site, rows: list) -> None:
-    await _change(site, rows, "healthy", both=True)
+async def _time_healthy_changes(site: sites.Site, rows: list) -> None:
+    await _time_zone_changes(site, rows, "healthy", with_return=True)
 
 
-async def _change(site: sites.Site, rows: list, mode: str, both: bool) -> None:
-    out_ms, back_ms = [], []
+async def _time_zone_changes(site: sites.Site, rows: list, mode: str, with_return: bool) -> None:
+    out_ms, return_ms = [], []
     for number in range(CHANGES):
         name = f"entry-{number % ENTRIES}"
-        out_ms += await _delays(site, name, True, HELD)
-        if both:
-            back_ms += await _delays(site, name, False, IN_FORCE)
-    rows.append((mode, "take out", len(out_ms), *_spread(out_ms)))
-    if back_ms:
-        rows.append((mode, "return", len(back_ms), *_spread(back_ms)))
+        out_ms += await _in_force_delays_ms(site, name, True, HELD_EVENT)
+        if with_return:
+            return_ms += await _in_force_delays_ms(site, name, False, IN_FORCE_EVENT)
+    rows.append((mode, "take out", len(out_ms), *_percentiles(out_ms)))
+    if return_ms:
+        rows.append((mode, "return", len(return_ms), *_percentiles(return_ms)))
 
 
-async def _delays(site: sites.Site, name: str, out: bool, event: int) -> list[float]:
-    """Return for each entry the time from the operator's call to its log line."""
-    before = {each.entry: len(site.group.log_text(each.entry)) for each in site.entries}
+async def _in_force_delays_ms(site: sites.Site, name: str, out: bool, event: int) -> list[float]:
+    """Return the time in ms from the operator's call to each entry's log line."""
+    log_lengths = {each.entry: len(site.group.log_text(each.entry)) for each in site.entries}
     sent_s = time.time()
     path = f"availability-zones/{ZONE}"
-    answer = await site.operate(name, "PUT", path, {"out": out})
-    if answer.status not in (200, 202):
-        raise RuntimeError(f"{path}: {answer.body!r}")
+    response = await site.operate(name, "PUT", path, {"out": out})
+    if response.status not in (200, 202):
+        raise RuntimeError(f"{path}: {response.body!r}")
     await trio.sleep(0.3)
     found = []
     for each in site.entries:
-        lines = site.group.log_text(each.entry)[before[each.entry] :].splitlines()
+        lines = site.group.log_text(each.entry)[log_lengths[each.entry] :].splitlines()
         times_s = [_time_s(line) for line in map(json.loads, lines) if line.get("event") == event]
         found.append((min(times_s) - sent_s) * 1000 if not out else (times_s[0] - sent_s) * 1000)
     return found
@@ -92,12 +92,16 @@
     await sites.call("POST", f"http://{site.keyvalue_address}/standin/faults", faults)
 
 
-async def _calls_during(site: sites.Site, work, *args) -> dict[str, float]:
+async def _calls_during(site: sites.Site, operation, *args) -> dict[str, float]:
     url = f"http://{site.keyvalue_address}/standin/calls"
-    before, start_s = (await sites.call("GET", url)).json()["counts"], trio.current_time()
-    await work(*args)
-    after, took_s = (await sites.call("GET", url)).json()["counts"], trio.current_time() - start_s
-    return {kind: (count - before.get(kind, 0)) / took_s for kind, count in after.items()}
+    counts_before, start_s = (await sites.call("GET", url)).json()["counts"], trio.current_time()
+    await operation(*args)
+    counts_after, took_s = (await sites.call("GET", url)).json()[
+        "counts"
+    ], trio.current_time() - start_s
+    return {
+        kind: (count - counts_before.get(kind, 0)) / took_s for kind, count in counts_after.items()
+    }
 
 
 def _in_force_table(rows: list, seed: int) -> table.Table:
@@ -119,10 +123,10 @@
     return table.Table("Calls to the key-value service", columns, rows, note)
 
 
-def _spread(values: list[float]) -> tuple[float, float, float]:
+def _percentiles(values: list[float]) -> tuple[float, float, float]:
     ordered = sorted(values)
     last = len(ordered) - 1
-    return tuple(round(ordered[int(part * last)], 1) for part in (0.5, 0.95, 1.0))
+    return tuple(round(ordered[int(fraction * last)], 1) for fraction in (0.5, 0.95, 1.0))
 
 
 @attrs.frozen
@@ -134,16 +138,16 @@
     rows = []
     for count in PEER_COUNTS:
         clock = trio.testing.MockClock(autojump_threshold=0)
-        rows.append(trio.run(_beat, count, seed, clock=clock))
+        rows.append(trio.run(_measure_heartbeats, count, seed, clock=clock))
     columns = ("entries", "sent_bytes_per_peer_s", "cpu_us_per_peer_s", "sent_bytes_per_entry_s")
     note = (
-        f"{PEERS_S:g} s of the test clock after all are connected, nothing changes; streams in "
-        f"memory, so without the kernel's share; seed {seed}."
+        f"{HEARTBEAT_RUN_S:g} s of the test clock after all are connected, nothing changes; "
+        f"streams in memory, so without the kernel's share; seed {seed}."
     )
     return table.Table("Heartbeats between entries", columns, tuple(rows), note)
 
 
-async def _beat(count: int, seed: int) -> tuple[int, float, float, float]:
+async def _measure_heartbeats(count: int, seed: int) -> tuple[int, float, float, float]:
     network = memory.MemoryNetwork()
     names = [f"entry-{number}" for number in range(count)]
     async with trio.open_nursery() as nursery:
@@ -153,24 +157,29 @@
         await trio.sleep(10)
         before_bytes = sum(host.streams.sent_bytes for host in hosts)
         before_s = time.process_time()
-        await trio.sleep(PEERS_S)
+        await trio.sleep(HEARTBEAT_RUN_S)
         cpu_s = time.process_time() - before_s
         sent_bytes = sum(host.streams.sent_bytes for host in hosts) - before_bytes
         nursery.cancel_scope.cancel()
-    pairs_s = count * (count - 1) * PEERS_S
-    per_entry = sent_bytes / count / PEERS_S
-    return count, round(sent_bytes / pairs_s, 1), round(cpu_s * 1e6 / pairs_s), round(per_entry, 1)
+    pairs_s = count * (count - 1) * HEARTBEAT_RUN_S
+    bytes_per_entry_s = sent_bytes / count / HEARTBEAT_RUN_S
+    return (
+        count,
+        round(sent_bytes / pairs_s, 1),
+        round(cpu_s * 1e6 / pairs_s),
+        round(bytes_per_entry_s, 1),
+    )
 
 
 def _new_host(network: memory.MemoryNetwork, name: str, names: list[str], seed: int) -> _Host:
     member = roster.Member(name, "zone-a", f"{name}:1", f"{name}:2", f"{name}:3", boot=name)
-    found, held = exchange.Exchange(), holder.ConfigurationHolder()
-    known = facts.FactTable(facts.EntryFact(member, 1))
+    peer_exchange, configuration = exchange.Exchange(), holder.ConfigurationHolder()
+    fact_table = facts.FactTable(facts.EntryFact(member, 1))
     reader = reading.ConfigurationReader(
-        store.ConfigurationStore(memory.MemoryPlatform().client(name)), held
+        store.ConfigurationStore(memory.MemoryPlatform().client(name)), configuration
     )
-    words = revisions.RevisionExchange(
-        found, held, reader, plan.PlanHolder(), roster.Roster(member), known
+    revision_sync = revisions.RevisionExchange(
+        peer_exchange, configuration, reader, plan.PlanHolder(), roster.Roster(member), fact_table
     )
     return _Host(
         streams.PeerStreams(
@@ -178,9 +187,9 @@
             member.peers_address,
             keyring.from_text("a-key-of-sixteen"),
             network.transport(name),
-            found,
+            peer_exchange,
             lambda: {f"{each}:3" for each in names},
-            words.heartbeat,
+            revision_sync.heartbeat,
             random.Random(f"{seed}:{name}"),
         )
     )
--- a/tools/measure/substitution.py
+++ b/tools/measure/substitution.py
@@ -1,4 +1,4 @@
-"""Group downtime during an outage, with and without substitutions decided beforehand."""
+"""Measures group downtime in an outage with and without precomputed substitutions."""
 
 import logging
 import random
@@ -18,11 +18,13 @@
         for recorded in (False, True):
             policy = spreading.Spreading(record_spares=recorded)
             down_s = []
-            for each in range(seed, seed + planning.SEEDS):
+            for run_seed in range(seed, seed + planning.SEEDS):
                 clock = trio.testing.MockClock(autojump_threshold=0)
-                one = planning.Run(site, policy, random.Random(each))
-                down_s.append(sum(trio.run(one.run_outage, clock=clock).down_s.values()))
-            rows.append((site.name, "recorded" if recorded else "none", planning.spread(down_s)))
+                outage_run = planning.Run(site, policy, random.Random(run_seed))
+                down_s.append(sum(trio.run(outage_run.run_outage, clock=clock).down_s.values()))
+            rows.append(
+                (site.name, "recorded" if recorded else "none", planning.format_spread(down_s))
+            )
     note = (
         f"Seeds {seed} to {seed + planning.SEEDS - 1}, mean (least to most), group-seconds not"
         f" serving in an outage of {planning.OUTAGE_S:.0f} s, a VM failing every"
--- a/tools/measure/table.py
+++ b/tools/measure/table.py
@@ -1,4 +1,4 @@
-"""A table of measured figures, and its plot."""
+"""Tables of measured values and their plots."""
 
 import collections.abc
 import pathlib
@@ -25,9 +25,9 @@
 
 @attrs.frozen
 class Table:
-    """Figures with their units in the column names.
+    """Measured values, with the units in the column names.
 
-    :ivar note: what the figures are, seed and spread included
+    :ivar note: how the values were obtained, with seed and spread
     """
 
     title: str
@@ -44,9 +44,9 @@
 
 def to_markdown(table: Table) -> str:
     """Return the table as Markdown, with aligned columns."""
-    cells = [table.columns, *(tuple(map(_text, row)) for row in table.rows)]
+    cells = [table.columns, *(tuple(map(_format_cell, row)) for row in table.rows)]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
-    lines = [_line(row, widths) for row in cells]
+    lines = [_format_row(row, widths) for row in cells]
     lines.insert(1, "|" + "|".join("-" * (width + 2) for width in widths) + "|")
     note = [table.note, ""] if table.note else []
     return "\n".join([f"### {table.title}", "", *note, *lines, ""])
@@ -56,7 +56,7 @@
     """Write the table's plot as PNG; return its path, or None for a table without one."""
     if table.plot is None:
         return None
-    # The import takes half a second, which a measurement without plots should not pay.
+    # Imported here because it takes half a second, which runs without plots need not spend.
     from matplotlib import figure
 
     drawn = figure.Figure(figsize=(8, 4.5), layout="constrained")
@@ -80,15 +80,15 @@
         axes.plot(x, y, marker="o", label=name)
         return
     width = 0.8 / series
-    places = [place + index * width for place in range(len(x))]
-    axes.bar(places, y, width, label=name)
-    axes.set_xticks([place + (series - 1) * width / 2 for place in range(len(x))], x)
+    positions = [position + index * width for position in range(len(x))]
+    axes.bar(positions, y, width, label=name)
+    axes.set_xticks([position + (series - 1) * width / 2 for position in range(len(x))], x)
 
 
-def _line(cells: collections.abc.Sequence[str], widths: collections.abc.Sequence[int]) -> str:
+def _format_row(cells: collections.abc.Sequence[str], widths: collections.abc.Sequence[int]) -> str:
     padded = (cell.ljust(width) for cell, width in zip(cells, widths, strict=True))
     return "| " + " | ".join(padded) + " |"
 
 
-def _text(cell: Cell) -> str:
+def _format_cell(cell: Cell) -> str:
     return f"{cell:.4g}" if isinstance(cell, float) else str(cell)
--- a/tools/scenario.py
+++ b/tools/scenario.py
@@ -6,25 +6,25 @@
 from tests.proof import language, steps
 
 
-def main(arguments: list[str]) -> int:
-    """Run the files; return 0 when each holds."""
-    if not arguments:
+def main(paths: list[str]) -> int:
+    """Run the files; return 0 if all pass, 1 if one fails, 2 without arguments."""
+    if not paths:
         print(__doc__)
         return 2
-    failed = 0
-    for name in arguments:
+    failure_count = 0
+    for path in paths:
         try:
-            steps.run_file(pathlib.Path(name))
+            steps.run_file(pathlib.Path(path))
         except language.InvalidScenarioError as error:
-            failed += 1
+            failure_count += 1
             print(*error.exceptions, sep="\n")
         except steps.StepError as error:
-            failed += 1
+            failure_count += 1
             print(error)
         else:
-            print(f"{name}: holds")
-    print(f"{len(arguments) - failed} passed, {failed} failed")
-    return min(1, failed)
+            print(f"{path}: holds")
+    print(f"{len(paths) - failure_count} passed, {failure_count} failed")
+    return min(1, failure_count)
 
 
 if __name__ == "__main__":
