--- a/tests/proof/__init__.py
+++ b/tests/proof/__init__.py
@@ -1,1 +1,1 @@
-"""The proof bench: whole entries on a test clock, among small fakes, with a recorded history."""
+"""Simulation of complete entries on a test clock, among fakes that record a history."""
--- a/tests/proof/faults.py
+++ b/tests/proof/faults.py
@@ -1,125 +1,134 @@
-"""Bringing faults into a site, and healing them."""
+"""Injects faults into a simulated site and heals them."""
 
 import trio
 
 from tests.proof import history, network, site
 
 
-def _note(own: site.Site, text: str, *whom: str) -> None:
-    own.history.record(history.Fault(text))
-    for name in whom:
-        own.disturbed_s[name] = trio.current_time()
+def _record_fault(testbed: site.Site, text: str, *affected: str) -> None:
+    testbed.history.record(history.FaultRecorded(text))
+    for name in affected:
+        testbed.disturbed_at_s[name] = trio.current_time()
 
 
-def cut(own: site.Site, entry: str, far: str) -> None:
-    """Separate an entry from ``platform``, a VM, or another entry."""
-    _note(own, f"{entry} is cut from {far}", far)
-    if far == "platform":
-        own.platform.set_mode("silent", entry)
-    elif far in own.servers:
-        own.network.cut(entry, far)
+def cut(testbed: site.Site, entry: str, target: str) -> None:
+    """Partition an entry from ``platform``, a VM or another entry."""
+    _record_fault(testbed, f"{entry} is cut from {target}", target)
+    if target == "platform":
+        testbed.platform.set_mode("silent", entry)
+    elif target in testbed.servers:
+        testbed.network.cut(entry, target)
     else:
-        own.peers.cut(entry, far)
+        testbed.peers.cut(entry, target)
 
 
-def heal(own: site.Site, entry: str, far: str) -> None:
-    """Join them again."""
-    _note(own, f"{entry} reaches {far} again", far)
-    if far == "platform":
-        own.platform.set_mode("up", entry)
-    elif far in own.servers:
-        own.network.heal(entry, far)
+def heal(testbed: site.Site, entry: str, target: str) -> None:
+    """Heal the partition between an entry and ``target``."""
+    _record_fault(testbed, f"{entry} reaches {target} again", target)
+    if target == "platform":
+        testbed.platform.set_mode("up", entry)
+    elif target in testbed.servers:
+        testbed.network.heal(entry, target)
     else:
-        own.peers.heal()
+        testbed.peers.heal()
 
 
-def platform_mode(own: site.Site, mode: str) -> None:
-    """Let the key-value service be ``up``, ``down`` or ``slow`` for all."""
-    _note(own, f"the platform is {mode}")
-    names = [name for name, each in own.entries.items() if each.alive]
-    own.platform.set_mode(mode)
-    for name in set(own.entries) - set(names):
-        own.platform.faults[name].mode = "down"
+def platform_mode(testbed: site.Site, mode: str) -> None:
+    """Set the key-value service to ``up``, ``down`` or ``slow`` for all live entries.
 
+    For entries that are not alive it stays down.
+    """
+    _record_fault(testbed, f"the platform is {mode}")
+    names = [name for name, server in testbed.entries.items() if server.is_alive]
+    testbed.platform.set_mode(mode)
+    for name in set(testbed.entries) - set(names):
+        testbed.platform.faults[name].mode = "down"
 
-def lose(own: site.Site, what: str, entry: str = "") -> None:
-    """Lose the answer (``answers``) or the whole (``requests``) of the next commit."""
-    _note(own, f"the next commit's {what} get lost")
-    for name in [entry] if entry else own.entries:
-        own.platform.faults[name].lose_kinds = ("kv/txn",)
-        setattr(own.platform.faults[name], f"lose_{what}", 1)
 
+def lose_commit(testbed: site.Site, lost_part: str, entry: str = "") -> None:
+    """Lose the response (``answers``) or the request (``requests``) of the next commit.
 
-def kill_vm(own: site.Site, vm: str) -> None:
-    """End a VM without warning."""
-    own.history.record(history.VmChanged(vm, "killed"))
-    own.servers[vm].kill()
-    own.pauser.resume(vm)
+    :param entry: the entry whose commit is affected; empty for all
+    """
+    _record_fault(testbed, f"the next commit's {lost_part} get lost")
+    for name in [entry] if entry else testbed.entries:
+        testbed.platform.faults[name].lose_kinds = ("kv/txn",)
+        setattr(testbed.platform.faults[name], f"lose_{lost_part}", 1)
 
 
-def restart_vm(own: site.Site, vm: str) -> None:
-    """Start a VM's program anew: cold, in no group."""
-    own.servers[vm].kill()
-    own.history.record(history.VmChanged(vm, "restarted"))
-    own.vm_list.leaving -= {vm}
-    own.servers[vm].boot()
+def kill_vm(testbed: site.Site, vm: str) -> None:
+    """Terminate a VM without warning."""
+    testbed.history.record(history.VmChanged(vm, "killed"))
+    testbed.servers[vm].kill()
+    testbed.pauser.resume(vm)
 
 
-def pause_vm(own: site.Site, vm: str) -> None:
-    """Stop a VM's tasks."""
-    own.history.record(history.VmChanged(vm, "paused"))
-    own.pauser.pause(vm)
-    own.disturbed_s[vm] = trio.current_time()
+def restart_vm(testbed: site.Site, vm: str) -> None:
+    """Restart a VM's program, cold and in no group."""
+    testbed.servers[vm].kill()
+    testbed.history.record(history.VmChanged(vm, "restarted"))
+    testbed.vm_list.leaving -= {vm}
+    testbed.servers[vm].boot()
 
 
-def resume_vm(own: site.Site, vm: str) -> None:
-    """Let a VM go on."""
-    own.history.record(history.VmChanged(vm, "resumed"))
-    own.pauser.resume(vm)
-    own.disturbed_s[vm] = trio.current_time()
+def pause_vm(testbed: site.Site, vm: str) -> None:
+    """Suspend a VM's tasks."""
+    testbed.history.record(history.VmChanged(vm, "paused"))
+    testbed.pauser.pause(vm)
+    testbed.disturbed_at_s[vm] = trio.current_time()
 
 
-def pause_entry(own: site.Site, name: str) -> None:
-    """Stop an entry's tasks."""
-    own.pause_entry(name)
+def resume_vm(testbed: site.Site, vm: str) -> None:
+    """Resume a VM's tasks."""
+    testbed.history.record(history.VmChanged(vm, "resumed"))
+    testbed.pauser.resume(vm)
+    testbed.disturbed_at_s[vm] = trio.current_time()
 
 
-def resume_entry(own: site.Site, name: str) -> None:
-    """Let an entry go on."""
-    own.resume_entry(name)
+def pause_entry(testbed: site.Site, name: str) -> None:
+    """Suspend an entry's tasks."""
+    testbed.pause_entry(name)
 
 
-def turn_cold(own: site.Site, vm: str) -> None:
-    """Let a server lose its warmth without a restart."""
-    own.history.record(history.VmChanged(vm, "turned cold"))
-    own.servers[vm].turn_cold()
+def resume_entry(testbed: site.Site, name: str) -> None:
+    """Resume an entry's tasks."""
+    testbed.resume_entry(name)
 
 
-def leave(own: site.Site, vm: str, listed: bool = False) -> None:
-    """Let a VM begin to leave: by its own report, or by the platform's list."""
-    own.history.record(history.VmChanged(vm, "leaves"))
+def turn_cold(testbed: site.Site, vm: str) -> None:
+    """Turn a server cold without a restart."""
+    testbed.history.record(history.VmChanged(vm, "turned cold"))
+    testbed.servers[vm].turn_cold()
+
+
+def start_leaving(testbed: site.Site, vm: str, listed: bool = False) -> None:
+    """Make a VM start to leave.
+
+    :param listed: announce it in the platform's list rather than in the VM's own report
+    """
+    testbed.history.record(history.VmChanged(vm, "leaves"))
     if listed:
-        own.vm_list.leaving |= {vm}
+        testbed.vm_list.leaving |= {vm}
     else:
-        own.servers[vm].set_leaving()
+        testbed.servers[vm].set_leaving()
 
 
-def dark(own: site.Site, zone: str) -> None:
-    """End all VMs of an availability zone, which is one fabric domain."""
-    for each in own.servers.values():
-        if each.availability_zone == zone and each.fabric_domain:
-            kill_vm(own, each.vm)
+def power_off_zone(testbed: site.Site, zone: str) -> None:
+    """Terminate all engine VMs of an availability zone, which is one fabric domain."""
+    for server in testbed.servers.values():
+        if server.availability_zone == zone and server.fabric_domain:
+            kill_vm(testbed, server.vm)
 
 
-def slow(own: site.Site, owner: str) -> trio.CancelScope:
-    """Give a process a fifth of its time until the returned scope is cancelled."""
-    _note(own, f"{owner} is slow", owner)
-    scope = trio.CancelScope()
-    network.start_as("", own.nursery, own.slow, owner, scope)
-    return scope
+def slow_down(testbed: site.Site, process: str) -> trio.CancelScope:
+    """Limit a process to a fifth of its time until the returned scope is cancelled."""
+    _record_fault(testbed, f"{process} is slow", process)
+    cancel_scope = trio.CancelScope()
+    network.start_as("", testbed.nursery, testbed.run_slowed, process, cancel_scope)
+    return cancel_scope
 
 
-def end_slow(own: site.Site, owner: str, scope: trio.CancelScope) -> None:
-    """Give a process all of its time again."""
-    _note(own, f"{owner} has its speed again", owner)
-    scope.cancel()
+def restore_speed(testbed: site.Site, process: str, cancel_scope: trio.CancelScope) -> None:
+    """Return a slowed process to full speed."""
+    _record_fault(testbed, f"{process} has its speed again", process)
+    cancel_scope.cancel()
--- a/tests/proof/history.py
+++ b/tests/proof/history.py
@@ -1,4 +1,4 @@
-"""What really happened, as the fakes saw it; the checks rest on this alone."""
+"""History of a run as the fakes observed it, the only input of the checks."""
 
 import collections.abc
 import typing
@@ -11,10 +11,13 @@
 class RunStarted:
     """A backend server began to run a request.
 
-    :ivar running: requests it runs now, this one included
-    :ivar cold_for_s: time since it turned cold; None when warm
-    :ivar bearable: requests it bears while cold
-    :ivar absent: members outside the group, with the time since they left; infinite for never in
+    :ivar content: the prompt, the path or the body of the request
+    :ivar key: idempotency key of an order
+    :ivar running: number of requests it now runs, including this one
+    :ivar cold_for_s: time since it turned cold; None if warm
+    :ivar bearable: number of requests it can run at once while cold
+    :ivar absent_members: VM and time in s since it left, for each member that is not in the group;
+        infinite if it never joined
     """
 
     vm: str
@@ -27,16 +30,16 @@
     group: str = ""
     generation: int = 0
     members: tuple[str, ...] = ()
-    absent: tuple[tuple[str, float], ...] = ()
+    absent_members: tuple[tuple[str, float], ...] = ()
 
 
 @attrs.frozen
 class RunEnded:
-    """A run is over, whole or not; the VM's group is free of it."""
+    """A run ended, complete or not, and no longer occupies the VM's group."""
 
     vm: str
     request_id: str
-    whole: bool
+    is_complete: bool
 
 
 @attrs.frozen
@@ -50,22 +53,23 @@
 
 @attrs.frozen
 class OrderReceived:
-    """An engine got an order.
+    """An engine received an order.
 
-    :ivar cut: requests that it ran and that the order cut
+    :ivar fencing: fencing number of the order
+    :ivar cut_requests: number of running requests that the order aborted
     """
 
     vm: str
     order: str
     fencing: int
-    accepted: bool
+    is_accepted: bool
     group: str = ""
-    cut: int = 0
+    cut_requests: int = 0
 
 
 @attrs.frozen
 class Joined:
-    """An engine has loaded its model and is in a group."""
+    """An engine loaded its model and joined a group."""
 
     vm: str
     group: str
@@ -74,10 +78,10 @@
 
 @attrs.frozen
 class Committed:
-    """A revision of the key-value service.
+    """A commit to the key-value service.
 
-    :ivar client: the entry that wrote; empty when a lease lapsed
-    :ivar values: new values by key; None for a deleted one
+    :ivar client: the entry that wrote; empty for the expiry of a lease
+    :ivar values: new values by key; None for a deleted key
     """
 
     client: str
@@ -86,11 +90,12 @@
 
 
 @attrs.frozen
-class Sent:
+class RequestSent:
     """A caller sent a request to an entry.
 
     :ivar kind: ``chat``, ``stream``, ``lookup`` or ``order``
-    :ivar content: what it asks for; unique to the request, or to the order's key
+    :ivar name: unique name of the request
+    :ivar content: prompt or item; unique to the request, or to the order's key
     """
 
     name: str
@@ -101,101 +106,118 @@
 
 
 @attrs.frozen
-class FirstPart:
-    """A caller got the first part of its answer."""
+class FirstPartReceived:
+    """A caller received the first part of its response."""
 
     name: str
     entry: str
 
 
 @attrs.frozen
-class Answered:
-    """A caller got its final answer, or lost its connection.
+class ResponseReceived:
+    """A caller received its complete response, or lost its connection.
 
-    :ivar status: HTTP status; 0 when the connection ended before
-    :ivar whole: whether the answer ended cleanly
-    :ivar outcome: of a refusal, whether the request ran
+    :ivar status: HTTP status; 0 if the connection ended before it came
+    :ivar is_complete: whether the response ended cleanly
+    :ivar outcome: outcome field of a refusal; empty otherwise
     """
 
-    sent: Sent
+    request: RequestSent
     status: int
-    whole: bool
+    is_complete: bool
     body: bytes
     request_id: str = ""
     outcome: str = ""
 
 
 @attrs.frozen
-class Asked:
-    """An operator asks an entry for a change."""
+class ChangeRequested:
+    """An operator requested a change from an entry."""
 
     entry: str
 
 
 @attrs.frozen
-class Commanded:
-    """An operator's change and its answer.
+class ChangeCompleted:
+    """An operator's change and the entry's response.
 
-    :ivar zone: the availability zone taken out or returned; empty for a document
-    :ivar began_s: when the operator asked
-    :ivar everywhere: whether the answer says that each entry has it in force
+    :ivar configuration: number of the accepted configuration; 0 if not accepted
+    :ivar zone: availability zone that was taken out or returned; empty for a document
+    :ivar out: whether the zone was taken out
+    :ivar is_in_force_everywhere: whether the response says that it is in force at each entry
     """
 
     entry: str
     status: int
-    began_s: float
+    requested_at_s: float
     configuration: int = 0
     zone: str = ""
     out: bool = False
-    everywhere: bool = False
+    is_in_force_everywhere: bool = False
 
 
 @attrs.frozen
-class InForce:
-    """An entry's configuration, at each change."""
+class ConfigurationApplied:
+    """An entry applied another configuration."""
 
     entry: str
-    process: int
+    process_number: int
     configuration: int
     zones_out: frozenset[str]
 
 
 @attrs.frozen
 class EntryChanged:
-    """An entry was started, killed, paused, resumed, asked to stop, stopped, or broke down.
+    """An entry was started, killed, paused, resumed, told to stop, stopped, or failed.
 
-    :ivar process: counts the processes that bore this name
+    :ivar process_number: number of processes with this name so far
+    :ivar change: the new state, for example ``started`` or ``broke down``
     """
 
     entry: str
-    process: int
+    process_number: int
     change: str
     detail: str = ""
 
 
 @attrs.frozen
 class VmChanged:
-    """A VM was killed, paused, restarted, turned cold, or began to leave."""
+    """A VM was killed, paused, resumed, restarted, turned cold, or began to leave."""
 
     vm: str
     change: str
 
 
 @attrs.frozen
-class Fault:
-    """A fault was brought in or healed."""
+class FaultRecorded:
+    """A fault was injected or healed."""
 
     text: str
 
 
 Event = (
-    RunStarted | RunEnded | TokenSent | OrderReceived | Joined | Committed | Sent | FirstPart
-) | (Answered | Asked | Commanded | InForce | EntryChanged | VmChanged | Fault)
-
-
-@attrs.frozen
-class Entry:
-    """An event and its time, in seconds of the test clock."""
+    RunStarted
+    | RunEnded
+    | TokenSent
+    | OrderReceived
+    | Joined
+    | Committed
+    | RequestSent
+    | FirstPartReceived
+) | (
+    ResponseReceived
+    | ChangeRequested
+    | ChangeCompleted
+    | ConfigurationApplied
+    | EntryChanged
+    | VmChanged
+    | FaultRecorded
+)
+
+
+@attrs.frozen
+class TimedEvent:
+    """An event and its time on the test clock."""
 
     time_s: float
     event: Event
@@ -203,23 +225,26 @@
 
 @attrs.define(eq=False)
 class History:
-    """All events in order; watchers see each one as it happens."""
+    """All events in order.
+
+    :ivar watchers: callbacks that receive each event as it is recorded
+    """
 
-    entries: list[Entry] = attrs.field(factory=list)
+    entries: list[TimedEvent] = attrs.field(factory=list)
     watchers: list[collections.abc.Callable[[Event], None]] = attrs.field(factory=list)
 
     def record(self, event: Event) -> None:
-        """Add an event and tell the watchers, who may bring in faults at once."""
-        self.entries.append(Entry(trio.current_time(), event))
+        """Add an event and call the watchers, which may inject faults at once."""
+        self.entries.append(TimedEvent(trio.current_time(), event))
         for watcher in list(self.watchers):
             watcher(event)
 
-    def of(self, kind: type) -> list[tuple[float, typing.Any]]:
-        """Return the events of one kind with their times."""
+    def events_of(self, kind: type) -> list[tuple[float, typing.Any]]:
+        """Return all events of a class, each with its time in s."""
         return [(each.time_s, each.event) for each in self.entries if isinstance(each.event, kind)]
 
     def lines(self) -> collections.abc.Iterator[str]:
-        """Yield the history as text, shortened."""
+        """Yield one line of text per event, truncated to 200 characters."""
         for each in self.entries:
             text = str(each.event)
             yield f"{each.time_s:9.3f} {text if len(text) < 200 else text[:200] + '…'}"
--- a/tests/proof/language.py
+++ b/tests/proof/language.py
@@ -1,4 +1,4 @@
-"""Reading scenario files."""
+"""Parses scenario files."""
 
 import pathlib
 
@@ -12,25 +12,26 @@
 
 
 class ScenarioError(Exception):
-    """A mistake in a scenario file, with its file and line."""
+    """An error in a scenario file, with its path and line."""
 
     def __init__(self, path: pathlib.Path, line: int, problem: str) -> None:
         super().__init__(f"{path}:{line}: {problem}")
 
 
 class InvalidScenarioError(ExceptionGroup):
-    """All mistakes of a scenario file, each a :class:`ScenarioError`."""
+    """All errors of a scenario file, each a :class:`ScenarioError`."""
 
     def derive(self, excs):
-        """Keep the type when the group is split."""
+        """Preserve the class when the group is split."""
         return InvalidScenarioError(self.message, excs)
 
 
 @attrs.frozen
 class Step:
-    """One line.
+    """One line of a scenario.
 
-    :ivar tree: what the grammar makes of it
+    :ivar line: line number, from 1
+    :ivar tree: parse tree of ``text``
     """
 
     line: int
@@ -39,13 +40,16 @@
 
     @property
     def is_setup(self) -> bool:
-        """Whether it describes the site rather than something that happens."""
+        """Whether the step describes the site rather than an action."""
         return self.tree.data in SETUP
 
 
 @attrs.frozen
 class Scenario:
-    """A scenario file."""
+    """A parsed scenario file.
+
+    :ivar summary: the opening comment as one line
+    """
 
     path: pathlib.Path
     summary: str
@@ -53,16 +57,16 @@
 
 
 def load(path: pathlib.Path) -> Scenario:
-    """Read a scenario.
+    """Parse a scenario file.
 
-    :raises InvalidScenarioError: naming every mistake
+    :raises InvalidScenarioError: with every error in the file
     """
     lines = path.read_text().splitlines()
     comments = [line for line in lines if line.startswith("#")]
-    steps, mistakes = [], []
+    steps, errors = [], []
     if not MIN_COMMENT_LINES <= len(comments) <= MAX_COMMENT_LINES or lines[0] != comments[0]:
         problem = "must open with two to five lines of comment and have no others"
-        mistakes.append(ScenarioError(path, 1, problem))
+        errors.append(ScenarioError(path, 1, problem))
     for number, line in enumerate(lines, 1):
         text = line.strip()
         if not text or text.startswith("#"):
@@ -70,30 +74,30 @@
         try:
             steps.append(Step(number, text, PARSER.parse(text).children[0]))
         except lark.UnexpectedInput as error:
-            mistakes.append(ScenarioError(path, number, _problem(text, error)))
+            errors.append(ScenarioError(path, number, _describe_error(text, error)))
     setup = [step.is_setup for step in steps]
     if setup != sorted(setup, reverse=True):
         step = steps[setup.index(False) + setup[setup.index(False) :].index(True)]
-        mistakes.append(ScenarioError(path, step.line, "the site must be described first"))
-    if mistakes:
-        raise InvalidScenarioError("invalid scenario", mistakes)
+        errors.append(ScenarioError(path, step.line, "the site must be described first"))
+    if errors:
+        raise InvalidScenarioError("invalid scenario", errors)
     return Scenario(path, " ".join(line.lstrip("# ") for line in comments), tuple(steps))
 
 
-def _problem(text: str, error: lark.UnexpectedInput) -> str:
+def _describe_error(text: str, error: lark.UnexpectedInput) -> str:
     if isinstance(error, lark.UnexpectedCharacters):
-        rest, wanted = text[error.column - 1 :], error.allowed or ()
+        unread, expected_terminals = text[error.column - 1 :], error.allowed or ()
     else:
         token = getattr(error, "token", None)
         at_end = token is None or token.type == "$END"
-        rest = "" if at_end else text[token.column - 1 :]
-        wanted = getattr(error, "accepts", None) or error.expected
-    words = sorted(_shown(name) for name in wanted if name != "$END")
-    found = f"cannot read {rest!r}" if rest else "the line ends too early"
-    return f"{found}; expected {', '.join(words)}"
+        unread = "" if at_end else text[token.column - 1 :]
+        expected_terminals = getattr(error, "accepts", None) or error.expected
+    descriptions = sorted(_describe_terminal(name) for name in expected_terminals if name != "$END")
+    description = f"cannot read {unread!r}" if unread else "the line ends too early"
+    return f"{description}; expected {', '.join(descriptions)}"
 
 
-def _shown(name: str) -> str:
+def _describe_terminal(name: str) -> str:
     for terminal in PARSER.terminals:
         if terminal.name == name and terminal.pattern.type == "str":
             return repr(terminal.pattern.value)
--- a/tests/proof/matrix.py
+++ b/tests/proof/matrix.py
@@ -1,4 +1,4 @@
-"""The fault matrix: each fault of the brief at each step of each procedure."""
+"""The fault matrix: each fault at each step of each procedure."""
 
 import abc
 import itertools
@@ -10,44 +10,45 @@
 from tests.proof import faults, history, procedures, promises, site, steps
 
 HEAL_AFTER_S = 6.0
-BRIEF_S = 3.0
+SHORT_HEAL_AFTER_S = 3.0
 TRAFFIC_INTERVAL_S = 0.4
 TRAFFIC_S = 10.0
-SERVES_AGAIN_S = 40.0
-LAST_S = 6.0
-SETTLED_S = 2.5
-KINDS = ("chat", "order", "lookup", "stream")
+RECOVERY_TIMEOUT_S = 40.0
+FINAL_SETTLE_S = 6.0
+SETTLE_S = 2.5
+REQUEST_KINDS = ("chat", "order", "lookup", "stream")
 TRAFFIC_KINDS = ("chat", "order", "stream")
 
 
 class Fault(abc.ABC):
-    """A fault that comes at a step and is healed later.
+    """A fault that is injected at a step and healed later.
 
-    :cvar name: its name in the names of cells
+    :cvar name: its part of the names of cells
+    :cvar heal_after_s: time from injection to healing
     """
 
     name: str
     heal_after_s = HEAL_AFTER_S
 
     @abc.abstractmethod
-    def bring(self, own: site.Site, focus: procedures.Focus) -> None:
-        """Bring it in, at once."""
+    def inject(self, testbed: site.Site, participants: procedures.Participants) -> None:
+        """Inject the fault immediately."""
 
-    def heal(self, own: site.Site, focus: procedures.Focus) -> None:
-        """Heal it; nothing by default."""
+    def heal(self, testbed: site.Site, participants: procedures.Participants) -> None:
+        """Heal the fault; does nothing by default."""
         return
 
 
 class EntryKilled(Fault):
-    """The entry of the step dies; another process takes its place."""
+    """The entry of the step is killed and later replaced by another process."""
 
-    name, heal_after_s = "entry-killed", BRIEF_S
+    name, heal_after_s = "entry-killed", SHORT_HEAL_AFTER_S
 
-    def bring(self, own, focus):
-        own.kill_entry(focus.entry)
+    def inject(self, testbed, participants):
+        testbed.kill_entry(participants.entry)
 
-    def heal(self, own, focus):
-        own.replace_entry(focus.entry)
+    def heal(self, testbed, participants):
+        testbed.replace_entry(participants.entry)
 
 
 class EntryPaused(Fault):
@@ -55,48 +56,48 @@
 
     name = "entry-paused"
 
-    def bring(self, own, focus):
-        own.pause_entry(focus.entry)
+    def inject(self, testbed, participants):
+        testbed.pause_entry(participants.entry)
 
-    def heal(self, own, focus):
-        own.resume_entry(focus.entry)
+    def heal(self, testbed, participants):
+        testbed.resume_entry(participants.entry)
 
 
 class LeaseLapsed(Fault):
-    """The planner is paused until its lease has lapsed and another has taken over."""
+    """The planner is paused until its lease has expired and another entry has taken over."""
 
     name = "lease-lapsed"
 
-    def bring(self, own, focus):
-        self.planner = steps.planner_of(own) or focus.entry
-        own.pause_entry(self.planner)
+    def inject(self, testbed, participants):
+        self.planner = steps.planner_of(testbed) or participants.entry
+        testbed.pause_entry(self.planner)
 
-    def heal(self, own, focus):
-        own.resume_entry(self.planner)
+    def heal(self, testbed, participants):
+        testbed.resume_entry(self.planner)
 
 
 class EntrySlow(Fault):
-    """The entry of the step gets a fifth of its time."""
+    """The entry of the step is limited to a fifth of its time."""
 
     name = "entry-slow"
 
-    def bring(self, own, focus):
-        self.scope = faults.slow(own, focus.entry)
+    def inject(self, testbed, participants):
+        self.scope = faults.slow_down(testbed, participants.entry)
 
-    def heal(self, own, focus):
-        faults.end_slow(own, focus.entry, self.scope)
+    def heal(self, testbed, participants):
+        faults.restore_speed(testbed, participants.entry, self.scope)
 
 
 class ServerKilled(Fault):
-    """The backend server of the step dies and comes back cold."""
+    """The backend server of the step is killed and later restarts cold."""
 
-    name, heal_after_s = "server-killed", BRIEF_S
+    name, heal_after_s = "server-killed", SHORT_HEAL_AFTER_S
 
-    def bring(self, own, focus):
-        faults.kill_vm(own, focus.vm)
+    def inject(self, testbed, participants):
+        faults.kill_vm(testbed, participants.vm)
 
-    def heal(self, own, focus):
-        faults.restart_vm(own, focus.vm)
+    def heal(self, testbed, participants):
+        faults.restart_vm(testbed, participants.vm)
 
 
 class ServerPaused(Fault):
@@ -104,23 +105,23 @@
 
     name = "server-paused"
 
-    def bring(self, own, focus):
-        faults.pause_vm(own, focus.vm)
+    def inject(self, testbed, participants):
+        faults.pause_vm(testbed, participants.vm)
 
-    def heal(self, own, focus):
-        faults.resume_vm(own, focus.vm)
+    def heal(self, testbed, participants):
+        faults.resume_vm(testbed, participants.vm)
 
 
 class ServerSlow(Fault):
-    """The backend server of the step gets a fifth of its time."""
+    """The backend server of the step is limited to a fifth of its time."""
 
     name = "server-slow"
 
-    def bring(self, own, focus):
-        self.scope = faults.slow(own, focus.vm)
+    def inject(self, testbed, participants):
+        self.scope = faults.slow_down(testbed, participants.vm)
 
-    def heal(self, own, focus):
-        faults.end_slow(own, focus.vm, self.scope)
+    def heal(self, testbed, participants):
+        faults.restore_speed(testbed, participants.vm, self.scope)
 
 
 class ServerCold(Fault):
@@ -128,49 +129,49 @@
 
     name = "server-cold"
 
-    def bring(self, own, focus):
-        faults.turn_cold(own, focus.vm)
+    def inject(self, testbed, participants):
+        faults.turn_cold(testbed, participants.vm)
 
 
 class ServerLeaving(Fault):
-    """The backend server of the step begins to leave; a new one comes in its place."""
+    """The backend server of the step begins to leave and is later replaced."""
 
     name, heal_after_s = "server-leaving", 8.0
 
-    def bring(self, own, focus):
-        faults.leave(own, focus.vm)
+    def inject(self, testbed, participants):
+        faults.start_leaving(testbed, participants.vm)
 
-    def heal(self, own, focus):
-        faults.restart_vm(own, focus.vm)
+    def heal(self, testbed, participants):
+        faults.restart_vm(testbed, participants.vm)
 
 
-class DomainDark(Fault):
-    """The whole fabric domain loses power for a while."""
+class DomainPoweredOff(Fault):
+    """All engine VMs of the fabric domain lose power for some seconds."""
 
     name = "domain-dark"
 
-    def bring(self, own, focus):
-        self.zone = own.servers[focus.vm].availability_zone
-        faults.dark(own, self.zone)
+    def inject(self, testbed, participants):
+        self.zone = testbed.servers[participants.vm].availability_zone
+        faults.power_off_zone(testbed, self.zone)
 
-    def heal(self, own, focus):
-        for each in own.servers.values():
-            if each.availability_zone == self.zone and not each.alive:
-                faults.restart_vm(own, each.vm)
+    def heal(self, testbed, participants):
+        for server in testbed.servers.values():
+            if server.availability_zone == self.zone and not server.is_alive:
+                faults.restart_vm(testbed, server.vm)
 
 
 class _Cut(Fault):
     @abc.abstractmethod
-    def far(self, own: site.Site, focus: procedures.Focus) -> list[str]:
-        """Return whom the entry of the step is cut off from."""
+    def targets(self, testbed: site.Site, participants: procedures.Participants) -> list[str]:
+        """Return the names that the entry of the step is cut from."""
 
-    def bring(self, own, focus):
-        for each in self.far(own, focus):
-            faults.cut(own, focus.entry, each)
+    def inject(self, testbed, participants):
+        for target in self.targets(testbed, participants):
+            faults.cut(testbed, participants.entry, target)
 
-    def heal(self, own, focus):
-        for each in self.far(own, focus):
-            faults.heal(own, focus.entry, each)
+    def heal(self, testbed, participants):
+        for target in self.targets(testbed, participants):
+            faults.heal(testbed, participants.entry, target)
 
 
 class CutFromPeers(_Cut):
@@ -178,8 +179,8 @@
 
     name = "cut-from-peers"
 
-    def far(self, own, focus):
-        return [name for name in own.entries if name != focus.entry]
+    def targets(self, testbed, participants):
+        return [name for name in testbed.entries if name != participants.entry]
 
 
 class CutFromPlatform(_Cut):
@@ -187,7 +188,7 @@
 
     name = "cut-from-platform"
 
-    def far(self, own, focus):
+    def targets(self, testbed, participants):
         return ["platform"]
 
 
@@ -196,8 +197,8 @@
 
     name = "cut-from-server"
 
-    def far(self, own, focus):
-        return [focus.vm]
+    def targets(self, testbed, participants):
+        return [participants.vm]
 
 
 class Isolated(_Cut):
@@ -205,39 +206,41 @@
 
     name = "isolated"
 
-    def far(self, own, focus):
-        return ["platform", *(name for name in own.entries if name != focus.entry)]
+    def targets(self, testbed, participants):
+        return ["platform", *(name for name in testbed.entries if name != participants.entry)]
 
 
-class _Elsewhere(Fault):
-    def other(self, own: site.Site, focus: procedures.Focus) -> procedures.Focus:
-        """Return a focus on an entry that does not take part in the step."""
-        name = next(name for name in reversed(own.names()) if name != focus.entry)
-        return attrs.evolve(focus, entry=name)
+class _OtherEntryFault(Fault):
+    def other_participants(
+        self, testbed: site.Site, participants: procedures.Participants
+    ) -> procedures.Participants:
+        """Return participants whose entry does not take part in the step."""
+        name = next(name for name in reversed(testbed.entry_names()) if name != participants.entry)
+        return attrs.evolve(participants, entry=name)
 
 
-class OtherPaused(_Elsewhere, EntryPaused):
-    """An entry that has no part in the step is paused, and misses it."""
+class OtherPaused(_OtherEntryFault, EntryPaused):
+    """An entry that does not take part in the step is paused and misses it."""
 
     name = "other-paused"
 
-    def bring(self, own, focus):
-        super().bring(own, self.other(own, focus))
+    def inject(self, testbed, participants):
+        super().inject(testbed, self.other_participants(testbed, participants))
 
-    def heal(self, own, focus):
-        super().heal(own, self.other(own, focus))
+    def heal(self, testbed, participants):
+        super().heal(testbed, self.other_participants(testbed, participants))
 
 
-class OtherIsolated(_Elsewhere, Isolated):
-    """An entry that has no part in the step reaches neither the platform nor another entry."""
+class OtherIsolated(_OtherEntryFault, Isolated):
+    """An entry that does not take part in the step reaches neither platform nor other entries."""
 
     name, heal_after_s = "other-isolated", 9.0
 
-    def bring(self, own, focus):
-        super().bring(own, self.other(own, focus))
+    def inject(self, testbed, participants):
+        super().inject(testbed, self.other_participants(testbed, participants))
 
-    def heal(self, own, focus):
-        super().heal(own, self.other(own, focus))
+    def heal(self, testbed, participants):
+        super().heal(testbed, self.other_participants(testbed, participants))
 
 
 class PlatformDown(Fault):
@@ -245,61 +248,61 @@
 
     name, mode = "platform-down", "down"
 
-    def bring(self, own, focus):
-        faults.platform_mode(own, self.mode)
+    def inject(self, testbed, participants):
+        faults.platform_mode(testbed, self.mode)
 
-    def heal(self, own, focus):
-        faults.platform_mode(own, "up")
+    def heal(self, testbed, participants):
+        faults.platform_mode(testbed, "up")
 
 
 class PlatformSlow(PlatformDown):
-    """Each call of the key-value service takes long."""
+    """Each call to the key-value service is slow."""
 
     name, mode = "platform-slow", "slow"
 
 
 class AnswerLost(Fault):
-    """The next commit of each entry takes effect, and its answer is lost."""
+    """The next commit of each entry takes effect, but its response is lost."""
 
     name = "answer-lost"
 
-    def bring(self, own, focus):
-        faults.lose(own, "answers")
+    def inject(self, testbed, participants):
+        faults.lose_commit(testbed, "answers")
 
-    def heal(self, own, focus):
-        for each in own.platform.faults.values():
+    def heal(self, testbed, participants):
+        for each in testbed.platform.faults.values():
             each.lose_answers = 0
 
 
 class OperatorsRacing(Fault):
-    """Two operators change things at the same time, and a third takes one change back."""
+    """Two operators make changes at the same time, and a third reverts one of them."""
 
     name = "operators-racing"
 
-    def bring(self, own, focus):
-        own.start(own.set_zone, "entry-1", "b", True)
-        own.start(own.set_zone, "entry-3", "b", True)
-        document = own.document()
+    def inject(self, testbed, participants):
+        testbed.start(testbed.set_zone, "entry-1", "b", True)
+        testbed.start(testbed.set_zone, "entry-3", "b", True)
+        document = testbed.document()
         document["rules"]["workspaces"] = [{"name": "orchard", "weight": 2.0}]
-        own.start(own.apply, "entry-3", document, 2)
+        testbed.start(testbed.apply, "entry-3", document, 2)
 
-    def heal(self, own, focus):
-        own.start(own.set_zone, "entry-1", "b", False)
+    def heal(self, testbed, participants):
+        testbed.start(testbed.set_zone, "entry-1", "b", False)
 
 
 class CrashingRequest(Fault):
-    """A request that crashes each backend server that runs it is sent, again and again."""
+    """A request that crashes each backend server that runs it is sent repeatedly."""
 
     name = "crashing-request"
 
-    def bring(self, own, focus):
-        own.start(self._send, own)
+    def inject(self, testbed, participants):
+        testbed.start(self._send, testbed)
 
-    async def _send(self, own: site.Site) -> None:
-        series = len(own.history.entries)
+    async def _send(self, testbed: site.Site) -> None:
+        series_id = len(testbed.history.entries)
         for number in range(4):
-            name, entry = f"crash-{series}-{number}", f"entry-{1 + number % 3}"
-            await own.call(history.Sent(name, entry, "chat", "crash-the-server"))
+            name, entry = f"crash-{series_id}-{number}", f"entry-{1 + number % 3}"
+            await testbed.call(history.RequestSent(name, entry, "chat", "crash-the-server"))
             await trio.sleep(0.5)
 
 
@@ -313,7 +316,7 @@
     ServerSlow,
     ServerCold,
     ServerLeaving,
-    DomainDark,
+    DomainPoweredOff,
     CutFromPeers,
     CutFromPlatform,
     CutFromServer,
@@ -338,15 +341,16 @@
 
     @property
     def name(self) -> str:
-        """The cell's name, for example ``order.claimed.entry-killed``."""
+        """The name of the cell, for example ``order.claimed.entry-killed``."""
         return f"{self.procedure.name}.{self.step}." + "+".join(each.name for each in self.faults)
 
 
 @attrs.frozen
 class Verdict:
-    """What a cell's run showed.
+    """Result of running a cell.
 
-    :ivar reached: whether the step came about, and the faults with it
+    :ivar reached: whether the step occurred, and with it the faults
+    :ivar problems: one line per violation
     """
 
     name: str
@@ -355,7 +359,7 @@
 
     @property
     def passed(self) -> bool:
-        """Whether it was run and nothing was broken."""
+        """Whether the step occurred and no check failed."""
         return self.reached and not self.problems
 
 
@@ -380,138 +384,155 @@
 
 
 def by_name(name: str) -> Cell:
-    """Return a cell.
+    """Return the cell of a name.
 
-    :raises KeyError: when there is none of that name
+    :raises KeyError: if there is no such cell
     """
     return {cell.name: cell for cell in (cells() if "+" not in name else pairs())}[name]
 
 
 @attrs.define(eq=False)
 class Run:
-    """One run of a cell."""
+    """One run of a cell.
+
+    :ivar cell: None for a run without a cell
+    :ivar healed: set when all faults are healed
+    """
 
     cell: Cell | None
-    own: site.Site
+    testbed: site.Site
     rng: random.Random
     reached: bool = False
     healed: trio.Event = attrs.field(factory=trio.Event)
     problems: list[str] = attrs.field(factory=list)
 
     async def drive(self) -> None:
-        """Carry out the cell."""
-        procedure, own = self.cell.procedure, self.own
-        if procedure.fresh:
-            for name in own.names():
-                own.start_entry(name)
-            await trio.sleep(SETTLED_S)
+        """Run the procedure, inject the faults at the step, and check the result."""
+        procedure, testbed = self.cell.procedure, self.testbed
+        if procedure.starts_unconfigured:
+            for name in testbed.entry_names():
+                testbed.start_entry(name)
+            await trio.sleep(SETTLE_S)
         else:
-            await site.serve_first(own)
-            await trio.sleep(SETTLED_S)
-        await procedure.prepare(own)
+            await site.start_serving(testbed)
+            await trio.sleep(SETTLE_S)
+        await procedure.prepare(testbed)
         step = procedure.steps()[self.cell.step]
-        own.history.watchers.append(lambda event: self._watch(step, event))
-        own.start(self.traffic)
-        await procedure.drive(own)
+        testbed.history.watchers.append(lambda event: self._inject_at_step(step, event))
+        testbed.start(self.traffic)
+        await procedure.trigger(testbed)
         await trio.sleep(TRAFFIC_S + 1)
         if self.reached:
             await self.healed.wait()
-        await self.end()
+        await self.verify_recovery()
 
-    def note(self, text: str) -> None:
-        """Put a line about the faults into the history."""
-        self.own.history.record(history.Fault(text))
+    def record_note(self, text: str) -> None:
+        """Add a line about the faults to the history."""
+        self.testbed.history.record(history.FaultRecorded(text))
 
-    def _watch(self, step: procedures.Step, event: history.Event) -> None:
-        focus = None if self.reached else step(self.own, event)
-        if focus is None:
+    def _inject_at_step(self, step: procedures.Step, event: history.Event) -> None:
+        participants = None if self.reached else step(self.testbed, event)
+        if participants is None:
             return
         self.reached = True
-        focus = self._whole(focus)
-        self.note(f"the cell's step, at {focus}")
-        own_faults = [fault() for fault in self.cell.faults]
-        for fault in own_faults:
-            fault.bring(self.own, focus)
-        self.own.start(self._heal, own_faults, focus)
-
-    def _whole(self, focus: procedures.Focus) -> procedures.Focus:
-        heads = [run.vm for _, run in self.own.history.of(history.RunStarted) if run.group]
-        vm = focus.vm or (heads[-1] if heads else procedures.DEFAULT_VM)
-        entry = focus.entry or procedures.DEFAULT_ENTRY
-        return procedures.Focus(entry, vm)
-
-    async def _heal(self, own_faults: list[Fault], focus: procedures.Focus) -> None:
-        for fault in sorted(own_faults, key=lambda each: each.heal_after_s):
+        participants = self._complete_participants(participants)
+        self.record_note(f"the cell's step, at {participants}")
+        injected_faults = [fault() for fault in self.cell.faults]
+        for fault in injected_faults:
+            fault.inject(self.testbed, participants)
+        self.testbed.start(self._heal, injected_faults, participants)
+
+    def _complete_participants(
+        self, participants: procedures.Participants
+    ) -> procedures.Participants:
+        head_vms = [
+            run.vm for _, run in self.testbed.history.events_of(history.RunStarted) if run.group
+        ]
+        vm = participants.vm or (head_vms[-1] if head_vms else procedures.DEFAULT_VM)
+        entry = participants.entry or procedures.DEFAULT_ENTRY
+        return procedures.Participants(entry, vm)
+
+    async def _heal(
+        self, injected_faults: list[Fault], participants: procedures.Participants
+    ) -> None:
+        for fault in sorted(injected_faults, key=lambda each: each.heal_after_s):
             await trio.sleep(fault.heal_after_s)
-            fault.heal(self.own, focus)
-        self.note("all is healed")
+            fault.heal(self.testbed, participants)
+        self.record_note("all is healed")
         self.healed.set()
 
     async def traffic(self) -> None:
-        """Send requests of all kinds to all entries for a while."""
+        """Send requests of all kinds to all entries for :data:`TRAFFIC_S`."""
         for number in range(int(TRAFFIC_S / TRAFFIC_INTERVAL_S)):
             kind = TRAFFIC_KINDS[number % len(TRAFFIC_KINDS)]
             self._send(f"t{number}", f"entry-{self.rng.randint(1, 3)}", kind)
-            for name in self.own.names():
+            for name in self.testbed.entry_names():
                 self._send(f"t{number}{name}", name, "lookup")
             await trio.sleep(TRAFFIC_INTERVAL_S)
 
     def _send(self, name: str, entry: str, kind: str) -> None:
         key = f"key-{name}" if kind == "order" else ""
-        sent = history.Sent(name, entry, kind, f"traffic-{name}", key)
-        self.own.start(self.own.call, sent)
+        sent = history.RequestSent(name, entry, kind, f"traffic-{name}", key)
+        self.testbed.start(self.testbed.call, sent)
 
-    async def end(self) -> None:
-        """Tell whether the site serves again, and check everything."""
-        own = self.own
-        if not await own.wait(self._stopped, SERVES_AGAIN_S):
+    async def verify_recovery(self) -> None:
+        """Check that the site serves again, and run all checks over the history."""
+        testbed = self.testbed
+        if not await testbed.wait_until(self._are_stops_finished, RECOVERY_TIMEOUT_S):
             self.problems.append("a planned stop does not end")
-        for name, each in own.entries.items():
-            if not each.alive:
-                own.replace_entry(name)
+        for name, entry_process in testbed.entries.items():
+            if not entry_process.is_alive:
+                testbed.replace_entry(name)
         if self.cell is not None:
-            await self.cell.procedure.ask_again(own)
-        if not await own.wait(self._answered, SERVES_AGAIN_S):
+            await self.cell.procedure.retry_refused(testbed)
+        if not await testbed.wait_until(self._are_calls_answered, RECOVERY_TIMEOUT_S):
             self.problems.append("requests without an answer")
-        if not await own.wait(own.all_serving, SERVES_AGAIN_S):
-            self.problems.append(f"not serving {SERVES_AGAIN_S} s after the faults were healed")
-        await trio.sleep(LAST_S)
-        for number, name in enumerate(own.entries):
-            for kind in KINDS:
-                sent = history.Sent(f"e{number}{kind}", name, kind, f"end-{number}-{kind}")
-                answer = await own.call(sent)
-                if answer.status != 200 or not answer.whole:
+        if not await testbed.wait_until(testbed.all_serving, RECOVERY_TIMEOUT_S):
+            self.problems.append(f"not serving {RECOVERY_TIMEOUT_S} s after the faults were healed")
+        await trio.sleep(FINAL_SETTLE_S)
+        for number, name in enumerate(testbed.entries):
+            for kind in REQUEST_KINDS:
+                sent = history.RequestSent(f"e{number}{kind}", name, kind, f"end-{number}-{kind}")
+                answer = await testbed.call(sent)
+                if answer.status != 200 or not answer.is_complete:
                     self.problems.append(f"{name} did not serve a {kind}: {answer}"[:300])
-        self.problems += promises.broken(steps.record_of(own))
+        self.problems += promises.violations(steps.new_run_record(testbed))
 
-    def _stopped(self) -> bool:
-        entries = self.own.entries.values()
-        return not any(each.alive and each.stop_requested.is_set() for each in entries)
+    def _are_stops_finished(self) -> bool:
+        entries = self.testbed.entries.values()
+        return not any(
+            entry_process.is_alive and entry_process.stop_requested.is_set()
+            for entry_process in entries
+        )
 
-    def _answered(self) -> bool:
-        return not self.own.waiting_calls
+    def _are_calls_answered(self) -> bool:
+        return not self.testbed.pending_calls
 
 
 def run(cell: Cell, seed: int = 1) -> tuple[Verdict, site.Site | None]:
-    """Run a cell on the test clock."""
-    plan = attrs.evolve(cell.procedure.plan, seed=seed)
-    return run_on(plan, cell.name, cell, Run, seed)
+    """Run a cell on the test clock; the site is None if the run failed."""
+    layout = attrs.evolve(cell.procedure.layout, seed=seed)
+    return run_on(layout, cell.name, cell, Run, seed)
 
 
 def run_on(
-    plan: site.Plan, name: str, cell: Cell | None, kind: type[Run], seed: int
+    layout: site.SiteLayout, name: str, cell: Cell | None, kind: type[Run], seed: int
 ) -> tuple[Verdict, site.Site | None]:
-    """Run something on a site of its own and return what it showed."""
+    """Run ``kind`` on a new site and return its verdict.
+
+    :param name: name of the verdict
+    :param cell: the cell, or None for a run without one
+    """
     runs: list[Run] = []
 
-    async def drive(own: site.Site) -> None:
-        runs.append(kind(cell, own, random.Random(seed)))
+    async def drive(testbed: site.Site) -> None:
+        runs.append(kind(cell, testbed, random.Random(seed)))
         await runs[0].drive()
 
-    own = None
+    testbed = None
     try:
-        own = site.run(plan, drive)
+        testbed = site.run(layout, drive)
         problems = runs[0].problems
     except Exception as error:
         problems = [f"the bench failed: {error!r} {getattr(error, 'exceptions', '')}"]
-    return Verdict(name, bool(runs) and runs[0].reached, tuple(problems)), own
+    return Verdict(name, bool(runs) and runs[0].reached, tuple(problems)), testbed
--- a/tests/proof/network.py
+++ b/tests/proof/network.py
@@ -1,4 +1,4 @@
-"""Processes that can be paused, and connections between them that can be cut."""
+"""Simulates processes that can be paused and network links that can be cut."""
 
 import collections.abc
 import contextvars
@@ -19,39 +19,39 @@
 
 
 class Pauser(trio.abc.Instrument):
-    """Holds back the tasks of paused processes while the clock goes on.
+    """Suspends the tasks of paused processes while the clock advances.
 
-    A woken task of a paused process is taken out of the scheduler's queue and put back at the
-    resumption: so timers expire and answers arrive meanwhile, and all is seen at once afterwards,
-    as after SIGSTOP and SIGCONT.
+    A runnable task of a paused process is removed from the scheduler's queue and put back on
+    resumption. Timers expire and responses arrive in the meantime, and the process sees them all at
+    once afterwards, as it does between SIGSTOP and SIGCONT.
     """
 
     def __init__(self) -> None:
-        self._held: dict[str, list[trio.lowlevel.Task]] = {}
+        self._suspended: dict[str, list[trio.lowlevel.Task]] = {}
 
     def pause(self, owner: str) -> None:
-        """Stop a process's tasks."""
-        if owner in self._held:
+        """Suspend the tasks of a process."""
+        if owner in self._suspended:
             return
-        self._held[owner] = []
+        self._suspended[owner] = []
         for task in list(_run_queue()):
             self.task_scheduled(task)
 
     def resume(self, owner: str) -> None:
-        """Let them go on."""
-        for task in self._held.pop(owner, ()):
+        """Resume the tasks of a process."""
+        for task in self._suspended.pop(owner, ()):
             _run_queue().append(task)
 
     def is_paused(self, owner: str) -> bool:
-        """Tell whether a process is paused."""
-        return owner in self._held
+        """Return whether a process is paused."""
+        return owner in self._suspended
 
     def task_scheduled(self, task: trio.lowlevel.Task) -> None:
-        """Take a woken task of a paused process aside."""
-        held = self._held.get(task.context.get(OWNER, ""))
-        if held is not None:
+        """Remove a runnable task of a paused process from the run queue."""
+        suspended = self._suspended.get(task.context.get(OWNER, ""))
+        if suspended is not None:
             _run_queue().remove(task)
-            held.append(task)
+            suspended.append(task)
 
 
 def _run_queue() -> collections.abc.MutableSequence[trio.lowlevel.Task]:
@@ -59,47 +59,55 @@
 
 
 class Network:
-    """Which pairs of processes can reach each other; a cut loses nothing and tells nobody."""
+    """The pairs of processes that cannot reach each other.
+
+    A cut delays all data without loss, and neither side is notified.
+    """
 
     def __init__(self) -> None:
         self._cuts: set[frozenset[str]] = set()
         self._changed = trio.Event()
 
-    def cut(self, one: str, other: str) -> None:
-        """Let nothing pass between two processes."""
-        self._cuts.add(frozenset((one, other)))
+    def cut(self, first: str, second: str) -> None:
+        """Stop all data between two processes."""
+        self._cuts.add(frozenset((first, second)))
 
-    def heal(self, one: str, other: str) -> None:
-        """Let everything pass again, also what was held up."""
-        self._cuts.discard(frozenset((one, other)))
+    def heal(self, first: str, second: str) -> None:
+        """Let data pass again, including what was delayed."""
+        self._cuts.discard(frozenset((first, second)))
         self._changed.set()
         self._changed = trio.Event()
 
-    def is_cut(self, one: str, other: str) -> bool:
-        """Tell whether two processes are separated."""
-        return frozenset((one, other)) in self._cuts
+    def is_cut(self, first: str, second: str) -> bool:
+        """Return whether the link between two processes is cut."""
+        return frozenset((first, second)) in self._cuts
 
-    async def wait_open(self, one: str, other: str) -> None:
-        """Return when something can pass."""
-        while self.is_cut(one, other):
+    async def wait_connected(self, first: str, second: str) -> None:
+        """Wait until data can pass between two processes."""
+        while self.is_cut(first, second):
             await self._changed.wait()
 
 
 class ConnectionCutError(Exception):
-    """A connection ended before its answer."""
+    """A connection ended before the response was complete."""
 
 
 @attrs.define(eq=False, slots=False)
 class Connection:
-    """One HTTP exchange over memory, with an ASGI application at its server's end."""
+    """One HTTP exchange in memory, with an ASGI application as the server.
+
+    :ivar client: name of the calling process
+    :ivar server: name of the process of the application
+    :ivar is_complete: whether the application has sent the whole response
+    """
 
     network: Network
     client: str
     server: str
     body: bytes
-    complete: bool = False
-    _gone: trio.Event = attrs.field(factory=trio.Event)
-    _asked: bool = False
+    is_complete: bool = False
+    _client_closed: trio.Event = attrs.field(factory=trio.Event)
+    _is_request_delivered: bool = False
 
     def __attrs_post_init__(self) -> None:
         self._sender, self._receiver = trio.open_memory_channel(math.inf)
@@ -113,36 +121,36 @@
             self._sender.close()
 
     async def receive(self) -> dict:
-        """Give the application the request, later the client's departure."""
-        if not self._asked:
-            self._asked = True
+        """Return the request to the application, then its disconnection (ASGI ``receive``)."""
+        if not self._is_request_delivered:
+            self._is_request_delivered = True
             return {"type": "http.request", "body": self.body}
-        await self._gone.wait()
-        await self.network.wait_open(self.client, self.server)
+        await self._client_closed.wait()
+        await self.network.wait_connected(self.client, self.server)
         return {"type": "http.disconnect"}
 
     async def send(self, message: dict) -> None:
-        """Take a part of the answer from the application."""
+        """Accept a part of the response from the application (ASGI ``send``)."""
         await trio.lowlevel.checkpoint()
         if message["type"] == "http.response.body" and not message.get("more_body"):
-            self.complete = True
+            self.is_complete = True
         self._sender.send_nowait(message)
 
-    def leave(self) -> None:
-        """Close the client's end."""
-        self._gone.set()
+    def close_client(self) -> None:
+        """Close the client side of the connection."""
+        self._client_closed.set()
 
     async def next_message(self) -> dict:
-        """Give the client the next part of the answer.
+        """Return the next part of the response to the client.
 
-        :raises ConnectionCutError: when the application ended without a whole answer
+        :raises ConnectionCutError: if the application ended before the response was complete
         """
         try:
             message = await self._receiver.receive()
         except trio.EndOfChannel:
             raise ConnectionCutError(f"{self.server} cut the connection") from None
         await trio.sleep(LATENCY_S)
-        await self.network.wait_open(self.client, self.server)
+        await self.network.wait_connected(self.client, self.server)
         return message
 
 
--- a/tests/proof/platform.py
+++ b/tests/proof/platform.py
@@ -1,4 +1,4 @@
-"""The platform in memory, recording every revision."""
+"""The platform in memory, recording every commit."""
 
 import trio
 
@@ -7,18 +7,21 @@
 
 
 class RecordingStore(keyvalue.Store):
-    """Records each commit with the client that made it."""
+    """Records each commit with the client that made it.
 
-    def __init__(self, own_history: history.History) -> None:
+    :ivar current_client: client of the call in progress; empty for none
+    """
+
+    def __init__(self, event_history: history.History) -> None:
         super().__init__()
-        self.own_history = own_history
-        self.acting = ""
+        self.event_history = event_history
+        self.current_client = ""
 
     def expire(self) -> None:
-        """Lapsed leases end by nobody's call."""
-        acting, self.acting = self.acting, ""
+        """Remove expired leases; their commits are attributed to no client."""
+        current_client, self.current_client = self.current_client, ""
         super().expire()
-        self.acting = acting
+        self.current_client = current_client
 
     def _commit(self) -> None:
         values = {
@@ -26,22 +29,22 @@
         }
         super()._commit()
         if values:
-            self.own_history.record(history.Committed(self.acting, self.revision, values))
+            self.event_history.record(history.Committed(self.current_client, self.revision, values))
 
 
 class RecordingClient(memory.MemoryClient):
-    """Takes a moment for each call, and tells the store who calls."""
+    """Adds latency to each call and sets the store's current client."""
 
     async def _meet_faults(self) -> None:
         await trio.sleep(network.LATENCY_S)
         await super()._meet_faults()
-        self.platform.store.acting = self.client_name
+        self.platform.store.current_client = self.client_name
 
 
 class Platform(memory.MemoryPlatform):
     """The key-value service of a site."""
 
     def client(self, name: str) -> RecordingClient:
-        """Return a client with faults of its own."""
+        """Return a client whose faults are separate from those of other clients."""
         self.faults.setdefault(name, memory.Faults())
         return RecordingClient("http://memory", name, platform=self)
--- a/tests/proof/procedures.py
+++ b/tests/proof/procedures.py
@@ -1,4 +1,4 @@
-"""The procedures of the fault matrix: what is done, and the named steps that it goes through."""
+"""The procedures of the fault matrix and their named steps."""
 
 import abc
 import collections.abc
@@ -9,95 +9,102 @@
 from tests.proof import faults, history, promises, site, steps
 
 DEFAULT_ENTRY = "entry-2"
-ASK_AGAIN_ATTEMPTS = 20
+RETRY_ATTEMPTS = 20
 DEFAULT_VM = "a1"
-CALLER = "p1"
-KEY = "key-p1"
+REQUEST_NAME = "p1"
+ORDER_KEY = "key-p1"
 
 
 @attrs.frozen
-class Focus:
-    """Who takes part in a step."""
+class Participants:
+    """The entry and the VM that take part in a step; empty for none."""
 
     entry: str = ""
     vm: str = ""
 
 
-Step = collections.abc.Callable[[site.Site, history.Event], Focus | None]
+Step = collections.abc.Callable[[site.Site, history.Event], Participants | None]
 
 
 class Procedure(abc.ABC):
-    """Something that the system does.
+    """An operation of the system.
 
-    :cvar name: its name in the names of cells
-    :cvar plan: the site that it needs
-    :cvar fresh: whether it begins with a site that has no configuration yet
+    :cvar name: its part of the names of cells
+    :cvar layout: the site that it needs
+    :cvar starts_unconfigured: whether the site has no configuration when it begins
     """
 
     name: str
-    plan = site.Plan()
-    fresh = False
+    layout = site.SiteLayout()
+    starts_unconfigured = False
 
     @abc.abstractmethod
     def steps(self) -> dict[str, Step]:
-        """Return its steps by name; each tells whether an event is that step."""
+        """Return its steps by name.
+
+        A step returns the participants if an event is that step, else None.
+        """
 
     @abc.abstractmethod
-    async def drive(self, own: site.Site) -> None:
-        """Set it going."""
+    async def trigger(self, testbed: site.Site) -> None:
+        """Start the procedure."""
 
-    async def prepare(self, own: site.Site) -> None:
-        """Bring the site to where it can begin; nothing by default."""
+    async def prepare(self, testbed: site.Site) -> None:
+        """Prepare the site for the procedure; does nothing by default."""
         return
 
-    async def ask_again(self, own: site.Site) -> None:
-        """After the faults, ask for what was not accepted; nothing by default."""
+    async def retry_refused(self, testbed: site.Site) -> None:
+        """Repeat changes that were not accepted during the faults; does nothing by default."""
         return
 
 
-def _wrote(prefix: str, deleted: bool = False, nth: int = 1) -> collections.abc.Callable[[], Step]:
-    def new() -> Step:
+def _on_write(
+    prefix: str, deleted: bool = False, occurrence: int = 1
+) -> collections.abc.Callable[[], Step]:
+    def new_step() -> Step:
         count = 0
 
-        def step(own: site.Site, event: history.Event) -> Focus | None:
+        def step(testbed: site.Site, event: history.Event) -> Participants | None:
             nonlocal count
             if not isinstance(event, history.Committed):
                 return None
             for key, value in event.values.items():
                 if key.startswith(prefix) and (value is None) == deleted:
                     count += 1
-                    return Focus(entry=event.client) if count == nth else None
+                    return Participants(entry=event.client) if count == occurrence else None
             return None
 
         return step
 
-    return new
+    return new_step
 
 
-def _saw(kind: type, nth: int = 1, **wanted: object) -> collections.abc.Callable[[], Step]:
-    def new() -> Step:
+def _on_event(
+    kind: type, occurrence: int = 1, **field_values: object
+) -> collections.abc.Callable[[], Step]:
+    def new_step() -> Step:
         count = 0
 
-        def step(own: site.Site, event: history.Event) -> Focus | None:
+        def step(testbed: site.Site, event: history.Event) -> Participants | None:
             nonlocal count
             if not isinstance(event, kind):
                 return None
-            if any(getattr(event, name) != value for name, value in wanted.items()):
+            if any(getattr(event, name) != value for name, value in field_values.items()):
                 return None
             count += 1
-            if count != nth:
+            if count != occurrence:
                 return None
-            return Focus(getattr(event, "entry", ""), getattr(event, "vm", ""))
+            return Participants(getattr(event, "entry", ""), getattr(event, "vm", ""))
 
         return step
 
-    return new
+    return new_step
 
 
-def _runs_in_zone(zone: str) -> Step:
-    def step(own: site.Site, event: history.Event) -> Focus | None:
-        there = isinstance(event, history.RunStarted) and own.zone_of(event.vm) == zone
-        return Focus(vm=event.vm) if there else None
+def _on_run_in_zone(zone: str) -> Step:
+    def step(testbed: site.Site, event: history.Event) -> Participants | None:
+        is_in_zone = isinstance(event, history.RunStarted) and testbed.zone_of(event.vm) == zone
+        return Participants(vm=event.vm) if is_in_zone else None
 
     return step
 
@@ -106,127 +113,129 @@
     kind: str
     key = ""
 
-    async def drive(self, own: site.Site) -> None:
-        sent = history.Sent(CALLER, DEFAULT_ENTRY, self.kind, f"about {CALLER}", self.key)
-        own.start(own.call, sent)
+    async def trigger(self, testbed: site.Site) -> None:
+        sent = history.RequestSent(
+            REQUEST_NAME, DEFAULT_ENTRY, self.kind, f"about {REQUEST_NAME}", self.key
+        )
+        testbed.start(testbed.call, sent)
 
-    def _of_run(self, kind: type, **wanted: object) -> Step:
-        ids: set[str] = set()
+    def _on_run_event(self, kind: type, **field_values: object) -> Step:
+        request_ids: set[str] = set()
 
-        def step(own: site.Site, event: history.Event) -> Focus | None:
+        def step(testbed: site.Site, event: history.Event) -> Participants | None:
             if isinstance(event, history.RunStarted) and (
-                event.content == f"about {CALLER}" or (self.key and event.key == self.key)
+                event.content == f"about {REQUEST_NAME}" or (self.key and event.key == self.key)
             ):
-                ids.add(event.request_id)
-            if not isinstance(event, kind) or event.request_id not in ids:
+                request_ids.add(event.request_id)
+            if not isinstance(event, kind) or event.request_id not in request_ids:
                 return None
-            if any(getattr(event, name) != value for name, value in wanted.items()):
+            if any(getattr(event, name) != value for name, value in field_values.items()):
                 return None
-            return Focus(DEFAULT_ENTRY, event.vm)
+            return Participants(DEFAULT_ENTRY, event.vm)
 
         return step
 
 
 class Request(_Call):
-    """A chat answered as a whole."""
+    """A chat request without streaming."""
 
     name, kind = "request", "chat"
 
     def steps(self) -> dict[str, Step]:
         """See :class:`Procedure`."""
         return {
-            "sent": _saw(history.Sent, name=CALLER)(),
-            "runs": self._of_run(history.RunStarted),
-            "ran": self._of_run(history.RunEnded),
-            "answered": _saw(history.FirstPart, name=CALLER)(),
+            "sent": _on_event(history.RequestSent, name=REQUEST_NAME)(),
+            "runs": self._on_run_event(history.RunStarted),
+            "ran": self._on_run_event(history.RunEnded),
+            "answered": _on_event(history.FirstPartReceived, name=REQUEST_NAME)(),
         }
 
 
 class Order(_Call):
-    """An order that may not be repeated, with a key."""
+    """A non-idempotent order with an idempotency key."""
 
-    name, kind, key = "order", "order", KEY
+    name, kind, key = "order", "order", ORDER_KEY
 
     def steps(self) -> dict[str, Step]:
         """See :class:`Procedure`."""
         return {
-            "sent": _saw(history.Sent, name=CALLER)(),
-            "claimed": self._claim(1),
-            "runs": self._of_run(history.RunStarted),
-            "ran": self._of_run(history.RunEnded),
-            "recorded": self._claim(2),
-            "answered": _saw(history.FirstPart, name=CALLER)(),
+            "sent": _on_event(history.RequestSent, name=REQUEST_NAME)(),
+            "claimed": self._on_claim(1),
+            "runs": self._on_run_event(history.RunStarted),
+            "ran": self._on_run_event(history.RunEnded),
+            "recorded": self._on_claim(2),
+            "answered": _on_event(history.FirstPartReceived, name=REQUEST_NAME)(),
         }
 
-    def _claim(self, nth: int) -> Step:
+    def _on_claim(self, occurrence: int) -> Step:
         count = 0
 
-        def step(own: site.Site, event: history.Event) -> Focus | None:
+        def step(testbed: site.Site, event: history.Event) -> Participants | None:
             nonlocal count
-            count += steps.is_claim(event, own, KEY)
-            return Focus(DEFAULT_ENTRY) if count == nth else None
+            count += steps.is_claim(event, testbed, ORDER_KEY)
+            return Participants(DEFAULT_ENTRY) if count == occurrence else None
 
         return step
 
 
 class Stream(_Call):
-    """A chat answered as a stream."""
+    """A streamed chat request."""
 
     name, kind = "stream", "stream"
 
     def steps(self) -> dict[str, Step]:
         """See :class:`Procedure`."""
         return {
-            "runs": self._of_run(history.RunStarted),
-            "first-token": self._of_run(history.TokenSent, index=0),
-            "sixth-token": self._of_run(history.TokenSent, index=5),
-            "ran": self._of_run(history.RunEnded),
+            "runs": self._on_run_event(history.RunStarted),
+            "first-token": self._on_run_event(history.TokenSent, index=0),
+            "sixth-token": self._on_run_event(history.TokenSent, index=5),
+            "ran": self._on_run_event(history.RunEnded),
         }
 
 
-class Forming(Procedure):
+class GroupForming(Procedure):
     """The first groups are formed."""
 
-    name, fresh = "group-forming", True
+    name, starts_unconfigured = "group-forming", True
 
     def steps(self) -> dict[str, Step]:
         """See :class:`Procedure`."""
         return {
-            "planned": _wrote(promises.PLAN_PREFIX)(),
-            "ordered": _saw(history.OrderReceived, order="join")(),
-            "first-joined": _saw(history.Joined)(),
-            "last-joined": _saw(history.Joined, nth=4)(),
+            "planned": _on_write(promises.PLAN_PREFIX)(),
+            "ordered": _on_event(history.OrderReceived, order="join")(),
+            "first-joined": _on_event(history.Joined)(),
+            "last-joined": _on_event(history.Joined, occurrence=4)(),
         }
 
-    async def drive(self, own: site.Site) -> None:
+    async def trigger(self, testbed: site.Site) -> None:
         """See :class:`Procedure`."""
-        own.start(own.apply, "entry-1", own.document(), 0)
+        testbed.start(testbed.apply, "entry-1", testbed.document(), 0)
 
 
-class Change(Procedure):
-    """A new version makes all groups change."""
+class GroupChange(Procedure):
+    """A new model version changes all groups."""
 
     name = "group-change"
 
     def steps(self) -> dict[str, Step]:
         """See :class:`Procedure`."""
         return {
-            "asked": _saw(history.Asked)(),
-            "accepted": _wrote(promises.HEAD_KEY)(),
-            "planned": _wrote(promises.PLAN_PREFIX)(),
-            "left": _saw(history.OrderReceived, order="leave")(),
-            "ordered": _saw(history.OrderReceived, order="join")(),
-            "joined": _saw(history.Joined)(),
+            "asked": _on_event(history.ChangeRequested)(),
+            "accepted": _on_write(promises.HEAD_KEY)(),
+            "planned": _on_write(promises.PLAN_PREFIX)(),
+            "left": _on_event(history.OrderReceived, order="leave")(),
+            "ordered": _on_event(history.OrderReceived, order="join")(),
+            "joined": _on_event(history.Joined)(),
         }
 
-    async def drive(self, own: site.Site) -> None:
+    async def trigger(self, testbed: site.Site) -> None:
         """See :class:`Procedure`."""
-        document = own.document()
+        document = testbed.document()
         document["rules"]["services"][0]["version"] = "2"
-        own.start(own.apply, "entry-1", document, 1)
+        testbed.start(testbed.apply, "entry-1", document, 1)
 
 
-class TakeOut(Procedure):
+class ZoneTakeOut(Procedure):
     """An availability zone is taken out."""
 
     name = "take-out"
@@ -234,141 +243,147 @@
     def steps(self) -> dict[str, Step]:
         """See :class:`Procedure`."""
         return {
-            "asked": _saw(history.Asked)(),
-            "accepted": _wrote(promises.HEAD_KEY)(),
-            "in-force": _saw(history.InForce, configuration=2)(),
-            "planned": _wrote(promises.PLAN_PREFIX)(),
-            "ordered": _saw(history.OrderReceived, order="join")(),
-            "joined": _saw(history.Joined)(),
+            "asked": _on_event(history.ChangeRequested)(),
+            "accepted": _on_write(promises.HEAD_KEY)(),
+            "in-force": _on_event(history.ConfigurationApplied, configuration=2)(),
+            "planned": _on_write(promises.PLAN_PREFIX)(),
+            "ordered": _on_event(history.OrderReceived, order="join")(),
+            "joined": _on_event(history.Joined)(),
         }
 
-    async def drive(self, own: site.Site) -> None:
+    async def trigger(self, testbed: site.Site) -> None:
         """See :class:`Procedure`."""
-        own.start(own.set_zone, "entry-1", "a", True)
+        testbed.start(testbed.set_zone, "entry-1", "a", True)
 
 
-class Return(Procedure):
-    """An availability zone is returned, and gets work again."""
+class ZoneReturn(Procedure):
+    """An availability zone is returned and receives work again."""
 
     name = "return"
-    plan = site.Plan(replicas=3)
+    layout = site.SiteLayout(replicas=3)
 
     def steps(self) -> dict[str, Step]:
         """See :class:`Procedure`."""
         return {
-            "asked": _saw(history.Asked)(),
-            "accepted": _wrote(promises.HEAD_KEY)(),
-            "in-force": _saw(history.InForce, configuration=3)(),
-            "planned": _wrote(promises.PLAN_PREFIX)(),
-            "runs-there": _runs_in_zone("a"),
+            "asked": _on_event(history.ChangeRequested)(),
+            "accepted": _on_write(promises.HEAD_KEY)(),
+            "in-force": _on_event(history.ConfigurationApplied, configuration=3)(),
+            "planned": _on_write(promises.PLAN_PREFIX)(),
+            "runs-there": _on_run_in_zone("a"),
         }
 
-    async def prepare(self, own: site.Site) -> None:
+    async def prepare(self, testbed: site.Site) -> None:
         """See :class:`Procedure`."""
-        await own.set_zone("entry-1", "a", True)
+        await testbed.set_zone("entry-1", "a", True)
         await trio.sleep(12)
 
-    async def drive(self, own: site.Site) -> None:
+    async def trigger(self, testbed: site.Site) -> None:
         """See :class:`Procedure`."""
-        own.start(own.set_zone, "entry-1", "a", False)
+        testbed.start(testbed.set_zone, "entry-1", "a", False)
 
-    async def ask_again(self, own: site.Site) -> None:
+    async def retry_refused(self, testbed: site.Site) -> None:
         """See :class:`Procedure`."""
-        # A return that was refused truthfully, or whose entry died, leaves the zone out: without
-        # it the site cannot serve all again, and no operator would leave it at that.
-        for _ in range(ASK_AGAIN_ATTEMPTS):
-            returned = (each for _, each in own.history.of(history.Commanded) if not each.out)
-            if any(each.zone == "a" and each.status == 200 for each in returned):
+        # If the return was refused, or its entry was killed, the zone stays out. The site cannot
+        # serve everything without it, and an operator would try again.
+        for _ in range(RETRY_ATTEMPTS):
+            returns = (
+                each
+                for _, each in testbed.history.events_of(history.ChangeCompleted)
+                if not each.out
+            )
+            if any(each.zone == "a" and each.status == 200 for each in returns):
                 return
-            await own.set_zone("entry-2", "a", False)
+            await testbed.set_zone("entry-2", "a", False)
             await trio.sleep(1)
 
 
 class Configuration(Procedure):
-    """The rules change, and no group with them."""
+    """The rules change without a change of any group."""
 
     name = "configuration-change"
 
     def steps(self) -> dict[str, Step]:
         """See :class:`Procedure`."""
         return {
-            "asked": _saw(history.Asked)(),
-            "accepted": _wrote(promises.HEAD_KEY)(),
-            "in-force": _saw(history.InForce, configuration=2)(),
-            "in-force-everywhere": _saw(history.InForce, configuration=2, nth=3)(),
+            "asked": _on_event(history.ChangeRequested)(),
+            "accepted": _on_write(promises.HEAD_KEY)(),
+            "in-force": _on_event(history.ConfigurationApplied, configuration=2)(),
+            "in-force-everywhere": _on_event(
+                history.ConfigurationApplied, configuration=2, occurrence=3
+            )(),
         }
 
-    async def drive(self, own: site.Site) -> None:
+    async def trigger(self, testbed: site.Site) -> None:
         """See :class:`Procedure`."""
-        document = own.document()
+        document = testbed.document()
         document["rules"]["workspaces"] = [{"name": "county", "weight": 2.0}]
-        own.start(own.apply, "entry-1", document, 1)
+        testbed.start(testbed.apply, "entry-1", document, 1)
 
 
 class PlannerChange(Procedure):
-    """The planner stops as planned, and another entry takes over."""
+    """The planner shuts down gracefully, and another entry takes over."""
 
     name = "planner-change"
 
     def steps(self) -> dict[str, Step]:
         """See :class:`Procedure`."""
         return {
-            "released": _wrote("toucanhold/planner", deleted=True)(),
-            "taken-over": _wrote("toucanhold/planner")(),
+            "released": _on_write("toucanhold/planner", deleted=True)(),
+            "taken-over": _on_write("toucanhold/planner")(),
         }
 
-    async def drive(self, own: site.Site) -> None:
+    async def trigger(self, testbed: site.Site) -> None:
         """See :class:`Procedure`."""
-        own.stop_entry(steps.planner_of(own))
+        testbed.stop_entry(steps.planner_of(testbed))
 
 
-class Stop(Procedure):
-    """An entry stops as planned."""
+class EntryStop(Procedure):
+    """An entry shuts down gracefully."""
 
     name = "entry-stop"
 
     def steps(self) -> dict[str, Step]:
         """See :class:`Procedure`."""
         return {
-            "begun": _saw(history.EntryChanged, change="stopping")(),
-            "off-the-roster": _wrote(f"toucanhold/entries/{DEFAULT_ENTRY}", deleted=True)(),
-            "stopped": _saw(history.EntryChanged, change="stopped")(),
+            "begun": _on_event(history.EntryChanged, change="stopping")(),
+            "off-the-roster": _on_write(f"toucanhold/entries/{DEFAULT_ENTRY}", deleted=True)(),
+            "stopped": _on_event(history.EntryChanged, change="stopped")(),
         }
 
-    async def drive(self, own: site.Site) -> None:
+    async def trigger(self, testbed: site.Site) -> None:
         """See :class:`Procedure`."""
-        own.stop_entry(DEFAULT_ENTRY)
+        testbed.stop_entry(DEFAULT_ENTRY)
 
 
-class Leaving(Procedure):
-    """A backend server says that it is about to leave."""
+class ServerLeaving(Procedure):
+    """A backend server reports that it is about to leave."""
 
     name = "server-leaving"
 
     def steps(self) -> dict[str, Step]:
         """See :class:`Procedure`."""
         return {
-            "begun": _saw(history.VmChanged, change="leaves")(),
-            "planned": _wrote(promises.PLAN_PREFIX)(),
-            "left": _saw(history.OrderReceived, order="leave")(),
-            "joined": _saw(history.Joined)(),
+            "begun": _on_event(history.VmChanged, change="leaves")(),
+            "planned": _on_write(promises.PLAN_PREFIX)(),
+            "left": _on_event(history.OrderReceived, order="leave")(),
+            "joined": _on_event(history.Joined)(),
         }
 
-    async def drive(self, own: site.Site) -> None:
+    async def trigger(self, testbed: site.Site) -> None:
         """See :class:`Procedure`."""
-        faults.leave(own, DEFAULT_VM)
+        faults.start_leaving(testbed, DEFAULT_VM)
 
 
 PROCEDURES: tuple[Procedure, ...] = (
     Request(),
     Order(),
     Stream(),
-    Forming(),
-    Change(),
-    TakeOut(),
-    Return(),
+    GroupForming(),
+    GroupChange(),
+    ZoneTakeOut(),
+    ZoneReturn(),
     Configuration(),
     PlannerChange(),
-    Stop(),
-    Leaving(),
+    EntryStop(),
+    ServerLeaving(),
 )
--- a/tests/proof/sequences.py
+++ b/tests/proof/sequences.py
@@ -1,41 +1,44 @@
-"""Random sequences of faults, each decided by its seed."""
+"""Random sequences of faults, determined by a seed."""
 
 import trio
 
 from tests.proof import matrix, procedures, site
 
-FAULTS_IN_A_SEQUENCE = 5
-GAP_S = (0.2, 3.0)
+FAULTS_PER_SEQUENCE = 5
+FAULT_INTERVAL_S = (0.2, 3.0)
 
 
-class _Sequence(matrix.Run):
-    """Brings in faults at random moments, overlapping as they come."""
+class _FaultSequence(matrix.Run):
+    """Injects faults at random times; they may overlap."""
 
     async def drive(self) -> None:
         """See :class:`matrix.Run`."""
-        await site.serve_first(self.own)
-        await trio.sleep(matrix.SETTLED_S)
+        await site.start_serving(self.testbed)
+        await trio.sleep(matrix.SETTLE_S)
         self.reached = True
-        self.own.start(self.traffic)
+        self.testbed.start(self.traffic)
         async with trio.open_nursery() as nursery:
-            for _ in range(FAULTS_IN_A_SEQUENCE):
-                await trio.sleep(self.rng.uniform(*GAP_S))
+            for _ in range(FAULTS_PER_SEQUENCE):
+                await trio.sleep(self.rng.uniform(*FAULT_INTERVAL_S))
                 fault = self.rng.choice(matrix.FAULTS)()
-                focus = procedures.Focus(
-                    self.rng.choice(self.own.names()), self.rng.choice(sorted(self.own.servers))
+                participants = procedures.Participants(
+                    self.rng.choice(self.testbed.entry_names()),
+                    self.rng.choice(sorted(self.testbed.servers)),
                 )
-                nursery.start_soon(self._bring_and_heal, fault, focus)
+                nursery.start_soon(self._inject_and_heal, fault, participants)
         await trio.sleep(matrix.TRAFFIC_S)
-        await self.end()
+        await self.verify_recovery()
 
-    async def _bring_and_heal(self, fault: matrix.Fault, focus: procedures.Focus) -> None:
-        self.note(f"{fault.name} at {focus}")
-        fault.bring(self.own, focus)
+    async def _inject_and_heal(
+        self, fault: matrix.Fault, participants: procedures.Participants
+    ) -> None:
+        self.record_note(f"{fault.name} at {participants}")
+        fault.inject(self.testbed, participants)
         await trio.sleep(fault.heal_after_s)
-        fault.heal(self.own, focus)
-        self.note(f"{fault.name} is healed")
+        fault.heal(self.testbed, participants)
+        self.record_note(f"{fault.name} is healed")
 
 
 def run(seed: int) -> tuple[matrix.Verdict, site.Site | None]:
-    """Run the sequence of a seed."""
-    return matrix.run_on(site.Plan(seed=seed), f"seed-{seed}", None, _Sequence, seed)
+    """Run the sequence of a seed; the site is None if the run failed."""
+    return matrix.run_on(site.SiteLayout(seed=seed), f"seed-{seed}", None, _FaultSequence, seed)
--- a/tests/proof/servers.py
+++ b/tests/proof/servers.py
@@ -1,4 +1,4 @@
-"""The stand-ins' backend servers in memory, recording what they run."""
+"""Runs the stand-in backend servers in memory and records what they do."""
 
 import contextlib
 import functools
@@ -13,20 +13,22 @@
 from toucanhold import codec
 from toucanhold.backends import client, http
 
-DISTURBED_S = 15.0
+DISTURBANCE_WINDOW_S = 15.0
 
 
 @attrs.define(eq=False)
 class _Exchange(serving.Exchange):
-    async def cut(self) -> None:
+    async def cut_requests(self) -> None:
         raise serving.CutError
 
 
 @attrs.define(eq=False, slots=False)
 class Server:
-    """A VM with its backend server.
+    """A VM and its backend server.
 
-    :ivar alive: whether the VM runs; it answers nothing otherwise
+    :ivar service: name of a plain service; empty for an engine
+    :ivar is_alive: whether the VM runs; it does not respond otherwise
+    :ivar left_at_s: time at which it left a group, by group and generation
     """
 
     vm: str
@@ -36,16 +38,16 @@
     fabric_domain: str = ""
     service: str = ""
     fencing: str = "checked"
-    alive: bool = True
-    left_s: dict[tuple[str, int], float] = attrs.field(factory=dict)
+    is_alive: bool = True
+    left_at_s: dict[tuple[str, int], float] = attrs.field(factory=dict)
     _scopes: set[trio.CancelScope] = attrs.field(factory=set)
 
     def __attrs_post_init__(self) -> None:
         self.boot(warm=True)
 
     def boot(self, warm: bool = False) -> None:
-        """Start its program anew."""
-        self.alive = True
+        """Start the VM's program."""
+        self.is_alive = True
         rng: random.Random = self.site.rng
         if self.service:
             settings = service.Settings(self.vm, run_s=0.2, warm=warm, warm_s=5.0)
@@ -58,24 +60,24 @@
             network.start_as(self.vm, self.site.nursery, self._run)
 
     def turn_cold(self) -> None:
-        """Lose the warmth without a restart."""
+        """Turn cold without a restart."""
         if self.service:
             self.app.settings.warm, self.app.started_s = False, trio.current_time()
         else:
             self.app.engine.turn_cold()
 
     def set_leaving(self) -> None:
-        """Report that it is about to go."""
+        """Report that the VM is about to leave."""
         if self.service:
             self.app.faults.leaving = True
         else:
             self.app.engine.leaving = True
 
     def kill(self) -> None:
-        """End its program; connections break."""
-        self.alive = False
+        """Terminate the program and break its connections."""
+        self.is_alive = False
         if not self.service:
-            self.app.engine.note_left()
+            self.app.engine.record_departure()
         for scope in list(self._scopes):
             scope.cancel()
 
@@ -99,81 +101,83 @@
             finally:
                 self._scopes.discard(cancel_scope)
 
-    def place(self) -> tuple[str, int] | None:
-        """Return the group and generation that it is in."""
-        place = self.app.engine.group() if self.alive and not self.service else None
-        return (place.group, place.generation) if place else None
+    def membership(self) -> tuple[str, int] | None:
+        """Return the group and generation that the VM is in; None for no group."""
+        membership = self.app.engine.group() if self.is_alive and not self.service else None
+        return (membership.group, membership.generation) if membership else None
 
 
 class _Engine(engine.Engine):
-    """Records runs and orders."""
+    """An engine that records runs and orders."""
 
     def __init__(self, server: Server, settings: engine.Settings) -> None:
         self.server = server
         super().__init__(settings)
 
-    def note_left(self) -> None:
-        """Note when its present group lost it."""
-        place = self.place
-        if place is not None:
-            self.server.left_s[place.group, place.generation] = trio.current_time()
+    def record_departure(self) -> None:
+        """Record the time at which it leaves its current group."""
+        membership = self.place
+        if membership is not None:
+            self.server.left_at_s[membership.group, membership.generation] = trio.current_time()
 
     def _boot(self) -> None:
         if hasattr(self, "place"):
-            self.note_left()
+            self.record_departure()
         super()._boot()
 
     def leave(self) -> None:
-        self.note_left()
+        self.record_departure()
         super().leave()
 
     def order(self, order: dict) -> None:
-        record = functools.partial(
+        new_event = functools.partial(
             history.OrderReceived, self.server.vm, order["order"], order.get("fencing", 0)
         )
-        cut = self._served_by_group() if order["order"] in ("join", "leave") else 0
+        cut_requests = self._interruptible_requests() if order["order"] in ("join", "leave") else 0
         try:
             super().order(order)
         except serving.AnswerError:
-            self.server.site.history.record(record(False))
+            self.server.site.history.record(new_event(False))
             raise
-        self.server.site.history.record(record(True, order.get("group", ""), cut))
+        self.server.site.history.record(new_event(True, order.get("group", ""), cut_requests))
         if order["order"] == "join":
             network.start_as(self.server.vm, self.server.site.nursery, self._load, self.place)
 
-    def _served_by_group(self) -> int:
-        """Return the requests that its group serves and could finish, were it let alone.
+    def _interruptible_requests(self) -> int:
+        """Return the number of requests that its group runs and could finish without the order.
 
-        None when the group is not whole, or when a member was hardly to be reached of late: to
-        give up such a group is no planned stop.
+        The number is 0 if the group is incomplete or a member was disturbed recently, since
+        replacing such a group is not a planned stop.
         """
-        place = self.place
-        if place is None:
+        membership = self.place
+        if membership is None:
             return 0
-        members = [self.server.site.server_at(address) for address in place.members]
-        now_s, disturbed_s = trio.current_time(), self.server.site.disturbed_s
+        members = [self.server.site.server_at(address) for address in membership.members]
+        now_s, disturbed_at_s = trio.current_time(), self.server.site.disturbed_at_s
         for each in members:
-            long_ago = now_s - disturbed_s.get(each.vm, -DISTURBED_S) >= DISTURBED_S
-            if each.place() != (place.group, place.generation) or not long_ago:
+            is_undisturbed = (
+                now_s - disturbed_at_s.get(each.vm, -DISTURBANCE_WINDOW_S) >= DISTURBANCE_WINDOW_S
+            )
+            if each.membership() != (membership.group, membership.generation) or not is_undisturbed:
                 return 0
         return len(members[0].app.engine.run_scopes)
 
-    async def _load(self, place: engine.Group) -> None:
-        await trio.sleep_until(place.loaded_s)
-        if self.place is place and self.server.alive:
-            joined = history.Joined(self.server.vm, place.group, place.generation)
+    async def _load(self, membership: engine.Group) -> None:
+        await trio.sleep_until(membership.loaded_s)
+        if self.place is membership and self.server.is_alive:
+            joined = history.Joined(self.server.vm, membership.group, membership.generation)
             self.server.site.history.record(joined)
 
     def _start(self, run: engine.Run) -> None:
-        place, now_s = self.group(), trio.current_time()
-        if place is None:
+        membership, now_s = self.group(), trio.current_time()
+        if membership is None:
             raise serving.CutError
-        servers = [self.server.site.server_at(address) for address in place.members]
-        key = (place.group, place.generation)
-        absent = [
-            (server.vm, now_s - server.left_s.get(key, -float("inf")))
+        servers = [self.server.site.server_at(address) for address in membership.members]
+        group_key = (membership.group, membership.generation)
+        absent_members = [
+            (server.vm, now_s - server.left_at_s.get(group_key, -float("inf")))
             for server in servers
-            if server.place() != key
+            if server.membership() != group_key
         ]
         self.server.site.history.record(
             history.RunStarted(
@@ -183,10 +187,10 @@
                 running=self.slots.statistics().borrowed_tokens,
                 cold_for_s=None if self.warm else now_s - self.cold_since_s,
                 bearable=self.settings.bearable,
-                group=place.group,
-                generation=place.generation,
+                group=membership.group,
+                generation=membership.generation,
                 members=tuple(server.vm for server in servers),
-                absent=tuple(absent),
+                absent_members=tuple(absent_members),
             )
         )
         super()._start(run)
@@ -200,32 +204,35 @@
         try:
             await super().generate(run, emit_and_record)
         finally:
-            whole = run.tokens >= run.max_tokens
-            ended = history.RunEnded(self.server.vm, run.request_id, whole)
+            is_complete = run.tokens >= run.max_tokens
+            ended = history.RunEnded(self.server.vm, run.request_id, is_complete)
             self.server.site.history.record(ended)
 
 
 class _EngineApp(engine.App):
-    def __init__(self, server: Server, own: _Engine) -> None:
-        super().__init__(own)
+    def __init__(self, server: Server, memory_engine: _Engine) -> None:
+        super().__init__(memory_engine)
         self.server = server
 
     async def run(self) -> None:
         while True:
             await trio.sleep(engine.CHECK_INTERVAL_S)
-            place = self.engine.group()
-            if place is None or place.rank != 0 or self.engine.gone():
+            membership = self.engine.group()
+            if membership is None or membership.rank != 0 or self.engine.gone():
                 continue
-            for address in place.members[1:]:
+            for address in membership.members[1:]:
                 other = self.server.site.server_at(address)
-                if not self._is_whole(other, place) and self.engine.place is place:
+                if not self._is_present(other, membership) and self.engine.place is membership:
                     self.engine.leave()
 
-    def _is_whole(self, other: Server, place: engine.Group) -> bool:
-        if not other.alive or self.server.site.pauser.is_paused(other.vm):
+    def _is_present(self, other: Server, membership: engine.Group) -> bool:
+        if not other.is_alive or self.server.site.pauser.is_paused(other.vm):
             return False
-        own = other.app.engine
-        return other.place() == (place.group, place.generation) or own.load()["loading"]
+        other_engine = other.app.engine
+        return (
+            other.membership() == (membership.group, membership.generation)
+            or other_engine.load()["loading"]
+        )
 
 
 class _Service(service.App):
@@ -263,19 +270,19 @@
 
 @attrs.define(eq=False)
 class MemoryBackends(http.HttpBackendClient):
-    """One entry's calls to backend servers; partitions hold them up."""
+    """One entry's calls to backend servers; a network partition delays them."""
 
     site: object
     entry: str
-    _checked: set[tuple[str, str]] = attrs.field(factory=set, init=False)
+    _verified_boots: set[tuple[str, str]] = attrs.field(factory=set, init=False)
 
     async def read_report(self, address: str, timeout_s: float) -> client.Report:
-        """See :class:`client.BackendClient`; without the cost of HTTP."""
+        """See :class:`client.BackendClient`; skips HTTP to save time."""
         server: Server = self.site.server_at(address)
         with trio.move_on_after(timeout_s):
             await trio.sleep(network.LATENCY_S)
-            await self.site.network.wait_open(self.entry, server.vm)
-            if not server.alive or (not server.service and server.app.engine.gone()):
+            await self.site.network.wait_connected(self.entry, server.vm)
+            if not server.is_alive or (not server.service and server.app.engine.gone()):
                 raise client.NotSentError(f"{server.vm} is down")
             while self.site.pauser.is_paused(server.vm):
                 await trio.sleep(0.05)
@@ -290,8 +297,8 @@
         server: Server = self.site.server_at(address)
         with trio.move_on_after(request.timeout_s) as scope:
             await trio.sleep(network.LATENCY_S)
-            await self.site.network.wait_open(self.entry, server.vm)
-        if scope.cancelled_caught or not server.alive:
+            await self.site.network.wait_connected(self.entry, server.vm)
+        if scope.cancelled_caught or not server.is_alive:
             raise client.NotSentError(f"cannot connect to {server.vm}")
         await self._check_boot(address, request)
         if request.guard is not None and not request.guard():
@@ -300,19 +307,21 @@
             self.site.network, self.entry, server.vm, bytes(request.body)
         )
         headers = [*request.headers, (b"x-request-id", request.request_id.encode())]
-        asgi = network.http_scope(request.method, request.path, headers)
-        network.start_as(server.vm, self.site.nursery, connection.serve, server, asgi)
+        asgi_scope = network.http_scope(request.method, request.path, headers)
+        network.start_as(server.vm, self.site.nursery, connection.serve, server, asgi_scope)
         try:
-            head = await self._next(connection, request.timeout_s)
-            chunks = self._parts(connection, request.timeout_s)
+            head = await self._next_message(connection, request.timeout_s)
+            chunks = self._body_chunks(connection, request.timeout_s)
             yield client.ForwardedResponse(head["status"], tuple(head["headers"]), chunks)
         finally:
-            connection.leave()
+            connection.close_client()
 
     async def _check_boot(self, address: str, request: client.ForwardedRequest) -> None:
-        # An idle connection to the wanted boot was checked when it was new.
-        wanted = (address, request.boot_id)
-        if not request.boot_id or (wanted in self._checked and not request.fresh_connection):
+        # An idle connection to this boot was verified when it was opened.
+        boot_key = (address, request.boot_id)
+        if not request.boot_id or (
+            boot_key in self._verified_boots and not request.fresh_connection
+        ):
             if not request.boot_id or self._boot_id(address) == request.boot_id:
                 return
         try:
@@ -323,40 +332,40 @@
         if report.boot_id != request.boot_id or cold:
             raise client.NotSentError(f"{address}: has booted again, or turned cold")
         if not request.fresh_connection:
-            self._checked.add(wanted)
+            self._verified_boots.add(boot_key)
 
     def _boot_id(self, address: str) -> str:
         server: Server = self.site.server_at(address)
         return server.app.boot_id if server.service else server.app.engine.boot_id
 
-    async def _next(self, connection: network.Connection, timeout_s: float) -> dict:
+    async def _next_message(self, connection: network.Connection, timeout_s: float) -> dict:
         try:
             with trio.fail_after(timeout_s):
                 return await connection.next_message()
         except (network.ConnectionCutError, trio.TooSlowError) as error:
             raise client.AnswerLostError(f"{connection.server}: {error!r}") from error
 
-    async def _parts(self, connection: network.Connection, timeout_s: float):
+    async def _body_chunks(self, connection: network.Connection, timeout_s: float):
         while True:
-            message = await self._next(connection, timeout_s)
+            message = await self._next_message(connection, timeout_s)
             yield message["body"]
             if not message.get("more_body"):
                 return
 
 
 def expected_chat(model: str, prompt: str, tokens: int) -> list[str]:
-    """Return the tokens of a whole answer."""
+    """Return the tokens of a complete chat response."""
     run = engine.Run("", model, prompt, tokens, None)
     return [run.token(index) for index in range(tokens)]
 
 
-def tokens_of(body: bytes, stream: bool) -> list[str] | None:
-    """Return the tokens in an answer's body; None where it is not whole."""
+def extract_tokens(body: bytes, stream: bool) -> list[str] | None:
+    """Return the tokens in a response body; None if a stream is incomplete."""
     if not stream:
         text = json.loads(body)["choices"][0]["message"]["content"]
         return text.split(" ")[:-1]
     if not body.endswith(b"data: [DONE]\n\n"):
         return None
-    datas = [line[6:] for line in body.split(b"\n") if line.startswith(b"data: {")]
-    deltas = [json.loads(data)["choices"][0]["delta"] for data in datas]
+    payloads = [line[6:] for line in body.split(b"\n") if line.startswith(b"data: {")]
+    deltas = [json.loads(data)["choices"][0]["delta"] for data in payloads]
     return [delta["content"].strip() for delta in deltas if "content" in delta]
--- a/tests/proof/steps.py
+++ b/tests/proof/steps.py
@@ -1,4 +1,4 @@
-"""Carrying out a scenario's steps."""
+"""Runs the steps of a scenario."""
 
 import collections.abc
 import hashlib
@@ -11,51 +11,56 @@
 from tests.proof import faults, history, language, promises, site
 
 ANSWER_TIMEOUT_S = 40.0
-AT_ONCE_S = 1.0
+IMMEDIATE_REFUSAL_S = 1.0
 EVENT_TIMEOUT_S = 40.0
-LAST_S = 6.0
+FINAL_SETTLE_S = 6.0
 
 
-COMMANDS = ("take_out", "give_back", "new_version")
+OPERATOR_COMMANDS = ("take_out", "give_back", "new_version")
 
 
 class StepError(Exception):
-    """An expectation that did not hold, with its file, its line and the last events."""
+    """An expectation did not hold; the message gives file, line and the last events."""
 
 
 @attrs.define(eq=False, slots=False)
-class Runner:
-    """Runs one scenario on a site; ``do_…`` and ``expect_…`` carry the grammar's names."""
+class ScenarioRunner:
+    """Runs one scenario on a site.
+
+    The grammar's names select the methods ``do_…``, ``event_…``, ``expect_…`` and ``within_…``.
+
+    :ivar problem: description of the first failure; empty if there was none
+    """
 
     scenario: language.Scenario
     site: site.Site
     problem: str = ""
 
     def __attrs_post_init__(self) -> None:
-        self.answers: dict[str, history.Answered | history.Commanded] = {}
-        self.slowed: dict[str, trio.CancelScope] = {}
+        self.answers: dict[str, history.ResponseReceived | history.ChangeCompleted] = {}
+        self.slow_scopes: dict[str, trio.CancelScope] = {}
         self.document = self.site.document()
 
     async def run(self) -> None:
-        """Carry out all steps, then check all promises; ``problem`` tells what did not hold."""
-        await site.serve_first(self.site)
+        """Run all steps, then check all guarantees, and set ``problem`` on a failure."""
+        await site.start_serving(self.site)
         for step in self.scenario.steps:
             if not step.is_setup:
-                problem = await self._do(step.tree)
+                problem = await self._perform(step.tree)
                 if problem:
-                    self.problem = self._tell(f"{step.line}: {step.text}: {problem}")
+                    self.problem = self._format_failure(f"{step.line}: {step.text}: {problem}")
                     return
-        await self.site.wait(lambda: not self.site.waiting_calls, ANSWER_TIMEOUT_S)
-        await trio.sleep(LAST_S)
-        broken = promises.broken(record_of(self.site))
-        if broken:
-            self.problem = self._tell("1: a promise is broken: " + "; ".join(broken))
+        await self.site.wait_until(lambda: not self.site.pending_calls, ANSWER_TIMEOUT_S)
+        await trio.sleep(FINAL_SETTLE_S)
+        violations = promises.violations(new_run_record(self.site))
+        if violations:
+            self.problem = self._format_failure("1: a promise is broken: " + "; ".join(violations))
 
-    def _tell(self, problem: str) -> str:
-        last = "\n  ".join(list(self.site.history.lines())[-40:])
-        return f"{self.scenario.path}:{problem}\nThe last events:\n  {last}"
+    def _format_failure(self, problem: str) -> str:
+        last_events = "\n  ".join(list(self.site.history.lines())[-40:])
+        return f"{self.scenario.path}:{problem}\nThe last events:\n  {last_events}"
 
-    async def _do(self, tree: lark.Tree) -> str | None:
+    async def _perform(self, tree: lark.Tree) -> str | None:
         return await getattr(self, f"do_{tree.data}")(*tree.children)
 
     # References
@@ -70,15 +75,15 @@
             return self._entry(tree)
         return next(
             name
-            for name, own in self.site.entries.items()
-            if own.alive and not self.site.pauser.is_paused(name)
+            for name, entry_process in self.site.entries.items()
+            if entry_process.is_alive and not self.site.pauser.is_paused(name)
         )
 
     def _process(self, tree: lark.Tree) -> str:
         (inner,) = tree.children
         return str(inner) if tree.data == "vm" else self._entry(inner)
 
-    def _far(self, tree: lark.Tree, entry: str) -> list[str]:
+    def _targets(self, tree: lark.Tree, entry: str) -> list[str]:
         if tree.data == "far_platform":
             return ["platform"]
         if tree.data == "far_vm":
@@ -93,28 +98,28 @@
         await trio.sleep(float(seconds))
 
     async def do_after(self, seconds, action: lark.Tree) -> None:
-        async def later() -> None:
+        async def run_later() -> None:
             await trio.sleep(float(seconds))
-            await self._do(action)
+            await self._perform(action)
 
-        self.site.start(later)
+        self.site.start(run_later)
 
-    async def do_when(self, event: lark.Tree, action: lark.Tree) -> None:
-        reached = self._event(event)
+    async def do_when(self, event_tree: lark.Tree, action: lark.Tree) -> None:
+        matches = self._event(event_tree)
 
-        def watch(seen: history.Event) -> None:
-            if reached(seen):
+        def watch(event: history.Event) -> None:
+            if matches(event):
                 self.site.history.watchers.remove(watch)
-                if action.data in COMMANDS:
-                    self.site.start(self._do, action)
+                if action.data in OPERATOR_COMMANDS:
+                    self.site.start(self._perform, action)
                 else:
-                    step_now(self._do(action))
+                    run_without_waiting(self._perform(action))
 
         self.site.history.watchers.append(watch)
 
-    async def do_wait_until(self, event: lark.Tree) -> str | None:
-        reached, happened = self._event(event), trio.Event()
-        self.site.history.watchers.append(lambda seen: reached(seen) and happened.set())
+    async def do_wait_until(self, event_tree: lark.Tree) -> str | None:
+        matches, happened = self._event(event_tree), trio.Event()
+        self.site.history.watchers.append(lambda event: matches(event) and happened.set())
         with trio.move_on_after(EVENT_TIMEOUT_S):
             await happened.wait()
             return None
@@ -126,15 +131,15 @@
         return getattr(self, f"event_{tree.data}")(*entries, *words)
 
     def event_claimed(self, entry: str, key: str):
-        return lambda seen: is_claim(seen, self.site, key) and seen.client == entry
+        return lambda event: is_claim(event, self.site, key) and event.client == entry
 
     def _request_id_matcher(self, name: str, kind: type):
         started: set[str] = set()
 
-        def matches(seen: history.Event) -> bool:
-            if isinstance(seen, history.RunStarted) and self._is_run_of(seen, name):
-                started.add(seen.request_id)
-            return isinstance(seen, kind) and seen.request_id in started
+        def matches(event: history.Event) -> bool:
+            if isinstance(event, history.RunStarted) and self._is_run_of(event, name):
+                started.add(event.request_id)
+            return isinstance(event, kind) and event.request_id in started
 
         return matches
 
@@ -146,11 +151,11 @@
             sent.kind == "lookup" and run.content == f"/records/{sent.content}"
         )
 
-    def _sent(self, name: str) -> history.Sent:
-        for _, sent in self.site.history.of(history.Sent):
+    def _sent(self, name: str) -> history.RequestSent:
+        for _, sent in self.site.history.events_of(history.RequestSent):
             if name in (sent.name, sent.key):
                 return sent
-        return history.Sent(name, "", "", "")
+        return history.RequestSent(name, "", "", "")
 
     def event_runs(self, name: str):
         return self._request_id_matcher(name, history.RunStarted)
@@ -160,33 +165,33 @@
 
     def event_has_sent(self, name: str, count: str):
         matches = self._request_id_matcher(name, history.TokenSent)
-        return lambda seen: matches(seen) and seen.index + 1 >= int(count)
+        return lambda event: matches(event) and event.index + 1 >= int(count)
 
     def event_first_part(self, name: str):
-        return lambda seen: isinstance(seen, history.FirstPart) and seen.name == name
+        return lambda event: isinstance(event, history.FirstPartReceived) and event.name == name
 
     def event_configuration_written(self):
-        return lambda seen: writes(seen, promises.HEAD_KEY)
+        return lambda event: is_write(event, promises.HEAD_KEY)
 
     def event_plan_written(self):
-        return lambda seen: writes(seen, promises.PLAN_PREFIX)
+        return lambda event: is_write(event, promises.PLAN_PREFIX)
 
     def event_planner_changes(self):
-        return lambda seen: writes(seen, "toucanhold/planner")
+        return lambda event: is_write(event, "toucanhold/planner")
 
     def event_ordered(self, vm: str):
-        return lambda seen: isinstance(seen, history.OrderReceived) and seen.vm == vm
+        return lambda event: isinstance(event, history.OrderReceived) and event.vm == vm
 
     def event_joined(self, vm: str):
-        return lambda seen: isinstance(seen, history.Joined) and seen.vm == vm
+        return lambda event: isinstance(event, history.Joined) and event.vm == vm
 
     # Callers and operators
 
     def _send(self, name: str, entry: lark.Tree, kind: str, content: str, key: str = "") -> None:
-        sent = history.Sent(str(name), self._entry(entry), kind, content, key)
+        sent = history.RequestSent(str(name), self._entry(entry), kind, content, key)
         self.site.start(self._call, sent)
 
-    async def _call(self, sent: history.Sent) -> None:
+    async def _call(self, sent: history.RequestSent) -> None:
         self.answers[sent.name] = await self.site.call(sent)
 
     async def do_send(self, kind, entry, name) -> None:
@@ -202,17 +207,17 @@
         self._send(name, entry, "order", f"{item} open", str(key or ""))
 
     async def _command(self, name, entry, operate, *arguments) -> str | None:
-        at = self._entry_or_first(entry)
+        entry_name = self._entry_or_first(entry)
         if name is None:
             with trio.move_on_after(ANSWER_TIMEOUT_S):
-                command = await operate(at, *arguments)
+                command = await operate(entry_name, *arguments)
                 return None if command.status == 200 else f"status {command.status}"
             return "no answer"
 
-        async def later() -> None:
-            self.answers[str(name)] = await operate(at, *arguments)
+        async def run_later() -> None:
+            self.answers[str(name)] = await operate(entry_name, *arguments)
 
-        self.site.start(later)
+        self.site.start(run_later)
         return None
 
     async def do_take_out(self, zone, entry, name) -> str | None:
@@ -225,8 +230,8 @@
         for each in self.document["rules"]["services"]:
             if each["name"] == service:
                 each["version"] = str(version)
-        at = self._entry_or_first(entry)
-        number = self.site.entries[at].app.configuration.current.number
+        entry_name = self._entry_or_first(entry)
+        number = self.site.entries[entry_name].app.configuration.current.number
         return await self._command(name, entry, self.site.apply, self.document, number)
 
     # Faults
@@ -238,8 +243,8 @@
 
     async def do_resume(self, process) -> None:
         name = self._process(process)
-        if name in self.slowed:
-            faults.end_slow(self.site, name, self.slowed.pop(name))
+        if name in self.slow_scopes:
+            faults.restore_speed(self.site, name, self.slow_scopes.pop(name))
         elif name in self.site.servers:
             faults.resume_vm(self.site, name)
         else:
@@ -247,7 +252,7 @@
 
     async def do_slow(self, process) -> None:
         name = self._process(process)
-        self.slowed[name] = faults.slow(self.site, name)
+        self.slow_scopes[name] = faults.slow_down(self.site, name)
 
     async def do_kill(self, process) -> None:
         name = self._process(process)
@@ -265,15 +270,15 @@
     async def do_stop(self, entry) -> None:
         self.site.stop_entry(self._entry(entry))
 
-    async def do_cut(self, entry, far) -> None:
+    async def do_cut(self, entry, target_tree) -> None:
         name = self._entry(entry)
-        for each in self._far(far, name):
-            faults.cut(self.site, name, each)
+        for target in self._targets(target_tree, name):
+            faults.cut(self.site, name, target)
 
-    async def do_heal(self, entry, far) -> None:
+    async def do_heal(self, entry, target_tree) -> None:
         name = self._entry(entry)
-        for each in self._far(far, name):
-            faults.heal(self.site, name, each)
+        for target in self._targets(target_tree, name):
+            faults.heal(self.site, name, target)
 
     async def do_platform_down(self) -> None:
         faults.platform_mode(self.site, "down")
@@ -285,36 +290,38 @@
         faults.platform_mode(self.site, "up")
 
     async def do_lose_answer(self, entry) -> None:
-        faults.lose(self.site, "answers", self._entry(entry) if entry else "")
+        faults.lose_commit(self.site, "answers", self._entry(entry) if entry else "")
 
     async def do_lose_write(self, entry) -> None:
-        faults.lose(self.site, "requests", self._entry(entry) if entry else "")
+        faults.lose_commit(self.site, "requests", self._entry(entry) if entry else "")
 
     async def do_dark(self, zone) -> None:
-        faults.dark(self.site, str(zone))
+        faults.power_off_zone(self.site, str(zone))
 
     async def do_lit(self, zone) -> None:
-        for each in self.site.servers.values():
-            if each.availability_zone == zone and not each.alive:
-                faults.restart_vm(self.site, each.vm)
+        for server in self.site.servers.values():
+            if server.availability_zone == zone and not server.is_alive:
+                faults.restart_vm(self.site, server.vm)
 
     async def do_turn_cold(self, vm) -> None:
         faults.turn_cold(self.site, str(vm))
 
     async def do_leaves(self, vm) -> None:
-        faults.leave(self.site, str(vm))
+        faults.start_leaving(self.site, str(vm))
 
     async def do_listed(self, vm) -> None:
-        faults.leave(self.site, str(vm), listed=True)
+        faults.start_leaving(self.site, str(vm), listed=True)
 
     # Expectations
 
     async def do_expect(self, tree: lark.Tree) -> str | None:
         return await getattr(self, f"expect_{tree.data}")(*tree.children)
 
-    async def _answer(self, name) -> history.Answered | history.Commanded | None:
-        found = await self.site.wait(lambda: str(name) in self.answers, ANSWER_TIMEOUT_S)
-        return self.answers[str(name)] if found else None
+    async def _answer(self, name) -> history.ResponseReceived | history.ChangeCompleted | None:
+        is_answered = await self.site.wait_until(
+            lambda: str(name) in self.answers, ANSWER_TIMEOUT_S
+        )
+        return self.answers[str(name)] if is_answered else None
 
     async def _expect_answer(self, name, predicate) -> str | None:
         answer = await self._answer(name)
@@ -323,33 +330,35 @@
         return None if predicate(answer) else f"it was {answer}"
 
     async def expect_answered(self, name) -> str | None:
-        return await self._expect_answer(name, lambda each: each.status == 200 and each.whole)
+        return await self._expect_answer(
+            name, lambda answer: answer.status == 200 and answer.is_complete
+        )
 
     async def expect_refused(self, name) -> str | None:
-        return await self._expect_answer(name, lambda each: each.outcome == "did-not-run")
+        return await self._expect_answer(name, lambda answer: answer.outcome == "did-not-run")
 
     async def expect_refused_at_once(self, name) -> str | None:
-        with trio.move_on_after(AT_ONCE_S):
+        with trio.move_on_after(IMMEDIATE_REFUSAL_S):
             return await self.expect_refused(name)
-        return f"no refusal in {AT_ONCE_S} s"
+        return f"no refusal in {IMMEDIATE_REFUSAL_S} s"
 
     async def expect_unknown(self, name) -> str | None:
-        return await self._expect_answer(name, lambda each: each.outcome == "unknown")
+        return await self._expect_answer(name, lambda answer: answer.outcome == "unknown")
 
     async def expect_was_cut(self, name) -> str | None:
-        return await self._expect_answer(name, lambda each: not each.whole)
+        return await self._expect_answer(name, lambda answer: not answer.is_complete)
 
     async def expect_final(self, name) -> str | None:
-        return await self._expect_answer(name, lambda each: True)
+        return await self._expect_answer(name, lambda answer: True)
 
     async def expect_accepted(self, name) -> str | None:
-        return await self._expect_answer(name, lambda each: each.status == 200)
+        return await self._expect_answer(name, lambda answer: answer.status == 200)
 
     async def expect_not_accepted(self, name) -> str | None:
-        return await self._expect_answer(name, lambda each: each.status != 200)
+        return await self._expect_answer(name, lambda answer: answer.status != 200)
 
     def _runs(self, name) -> int:
-        runs = self.site.history.of(history.RunStarted)
+        runs = self.site.history.events_of(history.RunStarted)
         return sum(self._is_run_of(run, str(name)) for _, run in runs)
 
     async def expect_ran_once(self, name) -> str | None:
@@ -367,35 +376,37 @@
         await trio.sleep(seconds)
         since_s = trio.current_time()
         await trio.sleep(seconds)
-        for time_s, run in self.site.history.of(history.RunStarted):
+        for time_s, run in self.site.history.events_of(history.RunStarted):
             if time_s > since_s and vms & {run.vm, *run.members}:
                 return f"{run.vm} got work at {time_s:.3f}"
         return None
 
     async def within_no_new_work(self, seconds: float, zone) -> str | None:
-        vms = {each.vm for each in self.site.servers.values() if each.availability_zone == zone}
+        vms = {
+            server.vm for server in self.site.servers.values() if server.availability_zone == zone
+        }
         return await self._no_work_after(seconds, vms)
 
     async def within_vm_no_new_work(self, seconds: float, vm) -> str | None:
         return await self._no_work_after(seconds, {str(vm)})
 
     async def _within(self, seconds: float, predicate) -> str | None:
-        return None if await self.site.wait(predicate, seconds) else f"not within {seconds} s"
+        return None if await self.site.wait_until(predicate, seconds) else f"not within {seconds} s"
 
-    def _number(self, name: str) -> int:
+    def _configuration_number(self, name: str) -> int:
         return self.site.entries[name].app.configuration.current.number
 
     async def within_in_force(self, seconds: float, entry, number) -> str | None:
         name = self._entry(entry)
-        return await self._within(seconds, lambda: self._number(name) >= int(number))
+        return await self._within(seconds, lambda: self._configuration_number(name) >= int(number))
 
     async def within_in_force_everywhere(self, seconds: float, number) -> str | None:
         return await self._within(
             seconds,
             lambda: all(
-                self._number(name) >= int(number)
-                for name, own in self.site.entries.items()
-                if own.alive
+                self._configuration_number(name) >= int(number)
+                for name, entry_process in self.site.entries.items()
+                if entry_process.is_alive
             ),
         )
 
@@ -403,16 +414,21 @@
         return await self._within(seconds, self.site.all_serving)
 
     async def within_new_planner(self, seconds: float) -> str | None:
-        known = planner_of(self.site)
-        return await self._within(seconds, lambda: planner_of(self.site) not in ("", known))
+        previous_planner = planner_of(self.site)
+        return await self._within(
+            seconds, lambda: planner_of(self.site) not in ("", previous_planner)
+        )
 
     async def within_has_stopped(self, seconds: float, entry) -> str | None:
         name = self._entry(entry)
-        return await self._within(seconds, lambda: not self.site.entries[name].alive)
+        return await self._within(seconds, lambda: not self.site.entries[name].is_alive)
 
 
-def step_now(coroutine: collections.abc.Coroutine) -> None:
-    """Carry out an action that waits for nothing, before the event's own effects go on."""
+def run_without_waiting(coroutine: collections.abc.Coroutine) -> None:
+    """Run an action that does not wait, so that it precedes the effects of the current event.
+
+    :raises AssertionError: if the action waits
+    """
     try:
         coroutine.send(None)
     except StopIteration:
@@ -420,70 +436,70 @@
     raise AssertionError("the action waits")
 
 
-def writes(seen: history.Event, prefix: str) -> bool:
-    """Tell whether an event is a write under a prefix of the key-value service."""
-    return isinstance(seen, history.Committed) and any(
-        key.startswith(prefix) and value is not None for key, value in seen.values.items()
+def is_write(event: history.Event, prefix: str) -> bool:
+    """Return whether an event is a write under a prefix of the key-value service."""
+    return isinstance(event, history.Committed) and any(
+        key.startswith(prefix) and value is not None for key, value in event.values.items()
     )
 
 
-def is_claim(seen: history.Event, own: site.Site, key: str) -> bool:
-    """Tell whether an event is a write of the claim of an order's key."""
+def is_claim(event: history.Event, testbed: site.Site, key: str) -> bool:
+    """Return whether an event is a write of the claim of an order's key."""
     digest = hashlib.sha256()
-    for part in ("default", own.plan.plain, key):
+    for part in ("default", testbed.layout.plain_service, key):
         digest.update(len(part).to_bytes(8, "big") + part.encode())
-    return writes(seen, "toucanhold/claims/" + digest.hexdigest())
+    return is_write(event, "toucanhold/claims/" + digest.hexdigest())
 
 
-def planner_of(own: site.Site) -> str:
-    """Return the entry that holds the planner lease by the store's record; empty for none."""
-    pair = own.platform.store.pairs.get(b"toucanhold/planner")
+def planner_of(testbed: site.Site) -> str:
+    """Return the entry that holds the planner lease in the store; empty for none."""
+    pair = testbed.platform.store.pairs.get(b"toucanhold/planner")
     return pair.value.decode() if pair else ""
 
 
-def record_of(own: site.Site) -> promises.Record:
-    """Return what the checks need."""
-    zones = {each.vm: each.availability_zone for each in own.servers.values()}
-    ended_s = own.history.entries[-1].time_s
-    return promises.Record(own.history, zones, site.MODEL, site.TOKENS, ended_s)
+def new_run_record(testbed: site.Site) -> promises.RunRecord:
+    """Return the input of the checks."""
+    zones = {server.vm: server.availability_zone for server in testbed.servers.values()}
+    ended_s = testbed.history.entries[-1].time_s
+    return promises.RunRecord(testbed.history, zones, site.MODEL, site.TOKENS, ended_s)
 
 
-def plan_of(scenario: language.Scenario) -> site.Plan:
-    """Return the site that a scenario describes."""
-    plan = site.Plan()
+def layout_of(scenario: language.Scenario) -> site.SiteLayout:
+    """Return the layout of the site that a scenario describes."""
+    layout = site.SiteLayout()
     ignoring = []
     for step in scenario.steps:
         words = [None if each is None else str(each) for each in step.tree.children]
         if step.tree.data == "site":
-            plan.entries, plan.zones = int(words[0]), tuple("abcdefgh"[: int(words[1])])
-            plan.engines = int(words[2] or plan.engines)
+            layout.entries, layout.zones = int(words[0]), tuple("abcdefgh"[: int(words[1])])
+            layout.engines = int(words[2] or layout.engines)
         elif step.tree.data == "model_service":
-            plan.drafts, plan.replicas = words[0], int(words[1])
-            plan.vms_per_replica = int(words[2])
+            layout.model_service, layout.replicas = words[0], int(words[1])
+            layout.vms_per_replica = int(words[2])
         elif step.tree.data == "plain_service":
-            plan.plain = words[0]
+            layout.plain_service = words[0]
         elif step.tree.data == "ignoring":
             ignoring.append(words[0])
-    plan.ignoring = tuple(ignoring)
-    return plan
+    layout.fencing_ignored_vms = tuple(ignoring)
+    return layout
 
 
 def run_file(path: pathlib.Path, seed: int = 1) -> site.Site:
     """Run a scenario file.
 
-    :raises language.InvalidScenarioError: for mistakes in the file
-    :raises StepError: when an expectation does not hold or a promise is broken
+    :raises language.InvalidScenarioError: if the file has errors
+    :raises StepError: if an expectation does not hold or a guarantee is violated
     """
     scenario = language.load(path)
-    plan = plan_of(scenario)
-    plan.seed = seed
+    layout = layout_of(scenario)
+    layout.seed = seed
     runners = []
 
-    async def drive(own: site.Site) -> None:
-        runners.append(Runner(scenario, own))
+    async def drive(testbed: site.Site) -> None:
+        runners.append(ScenarioRunner(scenario, testbed))
         await runners[0].run()
 
-    found = site.run(plan, drive)
+    finished = site.run(layout, drive)
     if runners[0].problem:
         raise StepError(runners[0].problem)
-    return found
+    return finished
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -16,89 +16,89 @@
 from toucanhold.routing import candidates, cold, requests
 
 
-def _call(own: site.Site, name: str, entry_name: str, kind: str, key: str = "") -> None:
-    sent = history.Sent(name, entry_name, kind, f"about-{name}", key)
-    own.nursery.start_soon(own.call, sent)
+def _call(testbed: site.Site, name: str, entry_name: str, kind: str, key: str = "") -> None:
+    sent = history.RequestSent(name, entry_name, kind, f"about-{name}", key)
+    testbed.nursery.start_soon(testbed.call, sent)
 
 
-async def _calls(own: site.Site, kind: str, count: int, interval_s: float) -> None:
+async def _calls(testbed: site.Site, kind: str, count: int, interval_s: float) -> None:
     for number in range(count):
-        _call(own, f"{kind}{number}", f"entry-{1 + number % 3}", kind)
+        _call(testbed, f"{kind}{number}", f"entry-{1 + number % 3}", kind)
         await trio.sleep(interval_s)
 
 
-async def _calls_while_groups_form(own: site.Site) -> None:
-    own.nursery.start_soon(_groups_form, own)
+async def _calls_while_groups_form(testbed: site.Site) -> None:
+    testbed.nursery.start_soon(_groups_form, testbed)
     await trio.sleep(2.1)
-    await _calls(own, "chat", 40, 0.1)
+    await _calls(testbed, "chat", 40, 0.1)
 
 
-async def _groups_form(own: site.Site) -> None:
-    for name in own.names():
-        own.start_entry(name)
+async def _groups_form(testbed: site.Site) -> None:
+    for name in testbed.entry_names():
+        testbed.start_entry(name)
     await trio.sleep(2)
-    await own.apply("entry-1", own.document(), 0)
+    await testbed.apply("entry-1", testbed.document(), 0)
     await trio.sleep(8)
 
 
-async def _many_at_once(own: site.Site) -> None:
-    await site.serve_first(own)
-    own.servers["as"].turn_cold()
-    own.servers["bs"].turn_cold()
+async def _many_at_once(testbed: site.Site) -> None:
+    await site.start_serving(testbed)
+    testbed.servers["as"].turn_cold()
+    testbed.servers["bs"].turn_cold()
     await trio.sleep(3)
-    await _calls(own, "order", 12, 0)
+    await _calls(testbed, "order", 12, 0)
     await trio.sleep(4)
 
 
-async def _zone_out(own: site.Site) -> None:
-    await site.serve_first(own)
-    await own.set_zone("entry-1", "a", True)
-    await _calls(own, "lookup", 60, 0.2)
+async def _zone_out(testbed: site.Site) -> None:
+    await site.start_serving(testbed)
+    await testbed.set_zone("entry-1", "a", True)
+    await _calls(testbed, "lookup", 60, 0.2)
 
 
-async def _server_leaves(own: site.Site) -> None:
-    await site.serve_first(own)
-    faults.leave(own, "as")
-    await _calls(own, "lookup", 60, 0.2)
+async def _server_leaves(testbed: site.Site) -> None:
+    await site.start_serving(testbed)
+    faults.start_leaving(testbed, "as")
+    await _calls(testbed, "lookup", 60, 0.2)
 
 
-async def _stream_is_cut(own: site.Site) -> None:
-    await site.serve_first(own)
+async def _stream_is_cut(testbed: site.Site) -> None:
+    await site.start_serving(testbed)
     await trio.sleep(3)
-    _call(own, "s1", "entry-1", "stream")
+    _call(testbed, "s1", "entry-1", "stream")
     await trio.sleep(0.3)
-    for zone in own.plan.zones:
-        faults.dark(own, zone)
-    await own.wait(lambda: not own.waiting_calls, 30)
+    for zone in testbed.layout.zones:
+        faults.power_off_zone(testbed, zone)
+    await testbed.wait_until(lambda: not testbed.pending_calls, 30)
 
 
-async def _server_dies_with_order(own: site.Site) -> None:
-    await site.serve_first(own)
+async def _server_dies_with_order(testbed: site.Site) -> None:
+    await site.start_serving(testbed)
     for number in range(4):
-        _call(own, f"o{number}", "entry-1", "order", f"k{number}")
+        _call(testbed, f"o{number}", "entry-1", "order", f"k{number}")
         await trio.sleep(0.5)
-    _call(own, "o9", "entry-2", "order", "k9")
+    _call(testbed, "o9", "entry-2", "order", "k9")
     await trio.sleep(0.1)
-    for _, run in own.history.of(history.RunStarted):
+    for _, run in testbed.history.events_of(history.RunStarted):
         if run.key == "k9":
-            faults.kill_vm(own, run.vm)
+            faults.kill_vm(testbed, run.vm)
     await trio.sleep(3)
 
 
-async def _entry_stops(own: site.Site) -> None:
-    await site.serve_first(own)
+async def _entry_stops(testbed: site.Site) -> None:
+    await site.start_serving(testbed)
     await trio.sleep(3)
-    _call(own, "s1", "entry-1", "stream")
+    _call(testbed, "s1", "entry-1", "stream")
     await trio.sleep(0.1)
-    own.stop_entry("entry-1")
+    testbed.stop_entry("entry-1")
     await trio.sleep(5)
 
 
-async def _late_message(own: site.Site) -> None:
-    await site.serve_first(own)
-    configuration = own.entries["entry-2"].app.configuration
+async def _late_message(testbed: site.Site) -> None:
+    await site.start_serving(testbed)
+    configuration = testbed.entries["entry-2"].app.configuration
     old = configuration.current.delta_since(0)
-    await own.set_zone("entry-1", "a", True)
+    await testbed.set_zone("entry-1", "a", True)
     await trio.sleep(1)
     configuration.apply(old, "a late peer")
     await trio.sleep(1)
@@ -175,7 +175,7 @@
 
 
 def _breaches(check, drive) -> list[str]:
-    return list(check(steps.record_of(site.run(site.Plan(), drive))))
+    return list(check(steps.new_run_record(site.run(site.SiteLayout(), drive))))
 
 
 def _test_caught(check):
--- a/tools/matrix.py
+++ b/tools/matrix.py
@@ -139,9 +139,9 @@
 def _run_named_cells(names: list[str]) -> int:
     failed = 0
     for name in names:
-        verdict, site_run = matrix.run(matrix.by_name(name))
-        if site_run is not None:
-            print(*site_run.history.lines(), sep="\n")
+        verdict, testbed = matrix.run(matrix.by_name(name))
+        if testbed is not None:
+            print(*testbed.history.lines(), sep="\n")
         print(
             f"{name}: {'passed' if verdict.passed else 'failed'}", *verdict.problems, sep="\n    "
         )
