--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -108,14 +108,14 @@
         if self._take(["store"]):
             for_s = self.site.rng.uniform(0.3, 4)
             self._tell(f"store refuses all for {for_s:.1f} s")
-            self.site.store.refuse = 503
+            self.site.store.refusal_status = 503
             await trio.sleep(for_s)
-            self.site.store.refuse = 0
+            self.site.store.refusal_status = 0
             self.busy.discard("store")
 
     async def _lose_answers(self):
         self._tell("answers of the store are lost")
-        self.site.store.lose_answers = self.site.rng.randint(1, 4)
+        self.site.store.responses_to_drop = self.site.rng.randint(1, 4)
         await trio.sleep(0)
 
     async def _lose_server(self):
--- a/tests/platform/soak/site.py
+++ b/tests/platform/soak/site.py
@@ -123,7 +123,7 @@
 
         async def hold(*, task_status):
             async with stack:
-                await stack.enter_async_context(standins.served(app, address))
+                await stack.enter_async_context(standins.serve_app(app, address))
                 task_status.started()
                 await trio.sleep_forever()
 
--- a/tests/platform/standins.py
+++ b/tests/platform/standins.py
@@ -1,4 +1,4 @@
-"""The platform's store and one of its servers over HTTP on loopback, as far as tests need them."""
+"""Minimal fakes of the platform's store and of a backend server, over HTTP on loopback."""
 
 import base64
 import contextlib
@@ -12,24 +12,25 @@
 
 from toucanhold import asgi, serving
 
-# A port that was found free is free again until it is listened on, and may be found twice.
-_found_ports = set()
+# Ports already returned. A free port stays free until it is listened on, so the kernel may offer it
+# twice.
+_returned_ports = set()
 
 
 def free_address():
-    """Return an address that nobody listens on and that was not returned before."""
+    """Return a loopback address that is free and was not returned before."""
     while True:
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
-        if port not in _found_ports:
-            _found_ports.add(port)
+        if port not in _returned_ports:
+            _returned_ports.add(port)
             return f"127.0.0.1:{port}"
 
 
 @contextlib.asynccontextmanager
-async def served(app, address=None):
-    """Serve an ASGI application on loopback."""
+async def serve_app(app, address=None):
+    """Serve an ASGI application on loopback and yield its address."""
     address = address or free_address()
     stop = trio.Event()
     async with trio.open_nursery() as nursery:
@@ -42,19 +43,20 @@
 
 @attrs.define(eq=False)
 class StoreApp:
-    """The store: items with revisions, a history, and faults.
+    """Key-value store with revisions, a watchable history, leases and faults.
 
-    :ivar refuse: status that every call gets, or 0
-    :ivar lose_answers: number of coming writes that are done and not answered
+    :ivar oldest_revision: revision up to which the history was compacted
+    :ivar refusal_status: HTTP status returned to every call; 0 for none
+    :ivar responses_to_drop: number of next writes that take effect without a response
     """
 
     items: dict = attrs.field(factory=dict)
     revision: int = 1
     history: list = attrs.field(factory=list)
-    oldest: int = 0
+    oldest_revision: int = 0
     page_size: int = 500
-    refuse: int = 0
-    lose_answers: int = 0
+    refusal_status: int = 0
+    responses_to_drop: int = 0
     leases: dict = attrs.field(factory=dict)
     changed: trio.Event = attrs.field(factory=trio.Event)
 
@@ -64,26 +66,28 @@
             return
         body = await asgi.read_body(receive, 10_000_000)
         query = dict(urllib.parse.parse_qsl(scope["query_string"].decode(), keep_blank_values=True))
-        plain = json.loads(body) if body else {}
-        if self.refuse:
-            await asgi.respond(send, self.refuse, [], b"")
+        request_data = json.loads(body) if body else {}
+        if self.refusal_status:
+            await asgi.respond(send, self.refusal_status, [], b"")
             return
-        status, answer = await self._answer(scope["method"], scope["path"], query, plain)
-        if self.lose_answers and scope["method"] != "GET":
-            self.lose_answers -= 1
+        status, response_data = await self._dispatch(
+            scope["method"], scope["path"], query, request_data
+        )
+        if self.responses_to_drop and scope["method"] != "GET":
+            self.responses_to_drop -= 1
             await trio.sleep_forever()
-        await asgi.respond_json(send, status, answer)
+        await asgi.respond_json(send, status, response_data)
 
     def put(self, key, value, lease=0):
         self.revision += 1
-        self._put(key, value, lease)
-        self._wake()
+        self._store_item(key, value, lease)
+        self._notify_watchers()
 
-    def forget_history(self):
-        self.oldest = self.revision
+    def compact_history(self):
+        self.oldest_revision = self.revision
         self.history.clear()
 
-    async def _answer(self, method, path, query, plain):
+    async def _dispatch(self, method, path, query, request_data):
         if path == "/kv-key":
             item = self.items.get(query["key"])
             if item is None:
@@ -94,21 +98,21 @@
         if path == "/kv-watch":
             return await self._watch(query)
         if path == "/kv-txn":
-            return self._txn(plain)
-        return self._lease(method, path, plain)
+            return self._commit(request_data)
+        return self._lease(method, path, request_data)
 
     def _range(self, prefix, after):
         keys = sorted(key for key in self.items if key.startswith(prefix) and key > after)
         page = [self.items[key] for key in keys[: self.page_size]]
-        more = len(keys) > self.page_size
-        return {"items": page, "has_more": more, "store_revision": self.revision}
+        has_more = len(keys) > self.page_size
+        return {"items": page, "has_more": has_more, "store_revision": self.revision}
 
     async def _watch(self, query):
         after = int(query["after"])
         with trio.move_on_after(int(query["wait_ms"]) / 1000):
             while not (found := self._events(query["path_prefix"], after)):
                 await self.changed.wait()
-        if after < self.oldest:
+        if after < self.oldest_revision:
             return 410, {}
         return 200, {"events": found or [], "store_revision": self.revision}
 
@@ -119,58 +123,61 @@
             if event["revision"] > after and event["key"].startswith(prefix)
         ]
 
-    def _txn(self, plain):
-        for row in plain["precondition"]:
-            current = self.items.get(row["key"], {"revision": 0})
-            if current["revision"] != row["revision"]:
-                return 412, {"items": [current]}
+    def _commit(self, request_data):
+        for condition in request_data["precondition"]:
+            current_item = self.items.get(condition["key"], {"revision": 0})
+            if current_item["revision"] != condition["revision"]:
+                return 412, {"items": [current_item]}
         self.revision += 1
-        for put in plain["puts"]:
-            self._put(put["key"], base64.b64decode(put["value"]), put["lease"])
-        for key in plain["remove"]:
+        for put in request_data["puts"]:
+            self._store_item(put["key"], base64.b64decode(put["value"]), put["lease"])
+        for key in request_data["remove"]:
             if self.items.pop(key, None) is not None:
                 event = {"key": key, "revision": self.revision, "tombstone": True}
                 self.history.append(event)
-        self._wake()
+        self._notify_watchers()
         return 200, {"revision": self.revision}
 
-    def _put(self, key, value, lease):
-        created = self.items.get(key, {"create_rev": self.revision})["create_rev"]
+    def _store_item(self, key, value, lease):
+        create_revision = self.items.get(key, {"create_rev": self.revision})["create_rev"]
         self.items[key] = {
             "key": key,
             "value": base64.b64encode(value).decode(),
             "revision": self.revision,
-            "create_rev": created,
+            "create_rev": create_revision,
             "lease": lease,
         }
         self.history.append(self.items[key])
 
-    def _lease(self, method, path, plain):
+    def _lease(self, method, path, request_data):
         if path == "/kv-lease":
-            number = 100 + len(self.leases)
-            self.leases[number] = plain["ttl_ms"]
-            return 200, {"lease": number, "ttl_ms": plain["ttl_ms"]}
-        number = int(path.rpartition("/")[2])
-        if number not in self.leases:
+            lease_id = 100 + len(self.leases)
+            self.leases[lease_id] = request_data["ttl_ms"]
+            return 200, {"lease": lease_id, "ttl_ms": request_data["ttl_ms"]}
+        lease_id = int(path.rpartition("/")[2])
+        if lease_id not in self.leases:
             return 404, {}
         if method == "DELETE":
-            del self.leases[number]
+            del self.leases[lease_id]
         return 200, {"ttl_ms": 1000}
 
-    def _wake(self):
+    def _notify_watchers(self):
         self.changed.set()
         self.changed = trio.Event()
 
 
 @attrs.define(eq=False)
-class WorkerApp:
-    """One server: echoes requests, takes orders, and misbehaves as told.
+class ServerApp:
+    """Backend server that records requests and accepts orders.
 
-    :ivar answer: called with the request's scope, body and ``send``; None for a plain answer
+    :ivar handler: called with the request's headers, ``receive`` and ``send``; None for a default
+        response
+    :ivar order_count: number of accepted orders, the next order's precondition
+    :ivar active: number of requests in progress
     """
 
     server_id: str = "i-1"
-    answer: object = None
+    handler: object = None
     requests: list = attrs.field(factory=list)
     orders: list = attrs.field(factory=list)
     order_count: int = 0
@@ -187,38 +194,38 @@
         if scope["path"] == "/order":
             await self._order(json.loads(body), send)
             return
-        lines = {key.decode(): value.decode() for key, value in scope["headers"]}
-        self.requests.append((scope, lines, body))
+        request_headers = {key.decode(): value.decode() for key, value in scope["headers"]}
+        self.requests.append((scope, request_headers, body))
         self.active += 1
         try:
-            if self.answer is not None:
-                await self.answer(lines, receive, send)
+            if self.handler is not None:
+                await self.handler(request_headers, receive, send)
             else:
-                await asgi.respond(send, 200, self.seal(lines), b"answer")
+                await asgi.respond(send, 200, self.seal(request_headers), b"answer")
         finally:
             self.active -= 1
 
-    def seal(self, lines):
+    def seal(self, request_headers):
         return [
-            (b"x-attempt-id", lines.get("x-attempt-id", "").encode()),
+            (b"x-attempt-id", request_headers.get("x-attempt-id", "").encode()),
             (b"x-server-seal", b"seal-1"),
             (b"x-instance-load", b"1,0,6"),
         ]
 
-    async def _order(self, plain, send):
-        self.orders.append(plain)
-        if plain["precondition"] != self.order_count:
+    async def _order(self, request_data, send):
+        self.orders.append(request_data)
+        if request_data["precondition"] != self.order_count:
             await asgi.respond(send, 409, [], b"")
             return
         self.order_count += 1
         await asgi.respond(send, 202, [], b"")
 
 
-async def ask(address, method, target, headers=(), body=b""):
-    """Send one request; return its status, headers and body."""
+async def send_request(address, method, target, headers=(), body=b""):
+    """Send one request; return status, headers and body of the response."""
     async with httpcore.AsyncConnectionPool(retries=0) as pool:
         response = await pool.request(
             method, f"http://{address}{target}", headers=list(headers), content=body
         )
-        found = {key.decode().lower(): value.decode() for key, value in response.headers}
-        return response.status, found, response.content
+        response_headers = {key.decode().lower(): value.decode() for key, value in response.headers}
+        return response.status, response_headers, response.content
--- a/tests/platform/test_platform_calls.py
+++ b/tests/platform/test_platform_calls.py
@@ -30,13 +30,13 @@
     @functools.wraps(function)
     def run(self):
         async def main():
-            server_app = standins.WorkerApp()
-            async with standins.served(server_app) as address:
+            server_app = standins.ServerApp()
+            async with standins.serve_app(server_app) as address:
                 server = attrs.evolve(gateways.new_servers(1)["b0"], address=address)
                 scene = gateways.GatewayScene({"b0": server})
                 scene.gateway.servers = servers.PlatformServerClient()
                 app = front.FrontApp(scene.gateway, metrics.Metrics("e"), lambda: False)
-                async with scene.running(), standins.served(app) as entry:
+                async with scene.running(), standins.serve_app(app) as entry:
                     with trio.fail_after(20):
                         await function(self, scene, server_app, entry)
 
@@ -48,7 +48,7 @@
 class PathTest(unittest.TestCase):
     @with_server_and_entry
     async def test_request_and_answer_are_forwarded_unchanged(self, scene, server_app, entry):
-        status, answer_headers, body = await standins.ask(
+        status, answer_headers, body = await standins.send_request(
             entry, "POST", "/orders/a%20b?x=1", HEADERS, b"payload"
         )
         self.assertEqual((200, b"answer"), (status, body))
@@ -68,8 +68,10 @@
         async def fail(request_headers, receive, send):
             await asgi.respond(send, 500, server_app.seal(request_headers), b"broken")
 
-        server_app.answer = fail
-        status, answer_headers, body = await standins.ask(entry, "POST", "/orders/1", HEADERS)
+        server_app.handler = fail
+        status, answer_headers, body = await standins.send_request(
+            entry, "POST", "/orders/1", HEADERS
+        )
         self.assertEqual(
             (500, "seal-1", b"broken"), (status, answer_headers["x-server-seal"], body)
         )
@@ -83,8 +85,8 @@
                 send, 503, [*server_app.seal(request_headers), (b"x-not-executed", b"1")], b""
             )
 
-        server_app.answer = refuse
-        status, answer_headers, _ = await standins.ask(entry, "POST", "/orders/1", HEADERS)
+        server_app.handler = refuse
+        status, answer_headers, _ = await standins.send_request(entry, "POST", "/orders/1", HEADERS)
         self.assertEqual(503, status)
         self.assertNotIn("x-server-seal", answer_headers)
         self.assertGreater(float(answer_headers["retry-after"]), 0)
@@ -94,8 +96,8 @@
         async def forge(request_headers, receive, send):
             await asgi.respond(send, 200, [], b"not the server's")
 
-        server_app.answer = forge
-        status, _, body = await standins.ask(entry, "POST", "/orders/1", HEADERS)
+        server_app.handler = forge
+        status, _, body = await standins.send_request(entry, "POST", "/orders/1", HEADERS)
         self.assertEqual(502, status)
         self.assertNotIn(b"not the server's", body)
 
@@ -104,14 +106,14 @@
         async def cross(request_headers, receive, send):
             await asgi.respond(send, 200, server_app.seal({"x-attempt-id": "other"}), b"crossed")
 
-        server_app.answer = cross
-        status, _, body = await standins.ask(entry, "POST", "/orders/1", HEADERS)
+        server_app.handler = cross
+        status, _, body = await standins.send_request(entry, "POST", "/orders/1", HEADERS)
         self.assertEqual(502, status)
         self.assertNotIn(b"crossed", body)
 
     @with_server_and_entry
     async def test_unknown_routes_get_404(self, scene, server_app, entry):
-        status, _, _ = await standins.ask(entry, "GET", "/nowhere/1", HEADERS)
+        status, _, _ = await standins.send_request(entry, "GET", "/nowhere/1", HEADERS)
         self.assertEqual(404, status)
 
 
@@ -130,7 +132,7 @@
                         await asgi.write(send, f"id: {number}\ndata: x\n\n".encode(), True)
                         await trio.sleep(0.02)
 
-        server_app.answer = stream
+        server_app.handler = stream
         await self._ask_and_disconnect(entry)
         with trio.fail_after(0.5):
             while server_app.active:
@@ -144,7 +146,7 @@
         async with trio.open_nursery() as nursery:
             for number in range(60):
                 nursery.start_soon(self._ask_and_disconnect, entry, number / 4000)
-        status, _, _ = await standins.ask(entry, "POST", "/orders/1", HEADERS)
+        status, _, _ = await standins.send_request(entry, "POST", "/orders/1", HEADERS)
         self.assertEqual(200, status)
 
     async def _cancel_on_disconnect(self, receive, scope):
--- a/tests/platform/test_platform_store.py
+++ b/tests/platform/test_platform_store.py
@@ -13,7 +13,7 @@
     def run(self):
         async def main():
             app = standins.StoreApp()
-            async with standins.served(app) as address:
+            async with standins.serve_app(app) as address:
                 client = store.StoreClient(address)
                 await function(self, app, client)
                 await client.close()
@@ -48,7 +48,7 @@
     @with_store
     async def test_compacted_history_raises_an_error(self, app, client):
         app.put("a/1", b"x")
-        app.forget_history()
+        app.compact_history()
         with self.assertRaises(keyvalue.CompactedError):
             await client.read_changes(1, 0.1)
 
@@ -66,10 +66,10 @@
 
     @with_store
     async def test_refused_call_has_no_effect_and_a_lost_one_may_have(self, app, client):
-        app.refuse = 503
+        app.refusal_status = 503
         with self.assertRaises(keyvalue.UnavailableError):
             await client.commit([], [keyvalue.Write("k", b"1")])
-        app.refuse, app.lose_answers = 0, 1
+        app.refusal_status, app.responses_to_drop = 0, 1
         with self.assertRaises(keyvalue.IndeterminateError):
             await client.commit([], [keyvalue.Write("k", b"1")])
         self.assertIsNotNone(await client.read_key("k"))
