--- a/tests/platform/paired/__init__.py
+++ b/tests/platform/paired/__init__.py
@@ -1,1 +1,1 @@
-"""Tells a gain from luck: plays the same days and seeds with two checkouts, and pairs them."""
+"""Compares two checkouts by paired runs of the same days and seeds."""
--- a/tests/platform/paired/reports.py
+++ b/tests/platform/paired/reports.py
@@ -1,4 +1,4 @@
-"""What a played day was worth, as the bench reports it."""
+"""Reads the reports that the users' bench writes for a day."""
 
 import json
 import pathlib
@@ -7,39 +7,39 @@
 
 
 class ReportError(Exception):
-    """A report is missing or has another shape."""
+    """A report is missing or has an unexpected structure."""
 
 
 @attrs.frozen
-class Day:
-    """One day, played once.
+class DayReport:
+    """Report of one run of a day.
 
-    :ivar worth: credit less prices, as a part of what was owed
-    :ivar by_kind: part of the credit earned by kind of request
-    :ivar by_second: part of the credit earned by the second from which it is counted
-    :ivar broken: rules that were broken, and a fault where there was one
+    :ivar worth: credit minus prices, as a fraction of the credit owed
+    :ivar by_kind: fraction of the credit earned, by kind of request
+    :ivar by_second: fraction of the credit earned, by the second at which its window begins
+    :ivar violations: rules that were broken, and the fault if there was one
     """
 
     worth: float
     by_kind: dict[str, float]
     by_second: dict[int, float]
-    broken: tuple[str, ...]
+    violations: tuple[str, ...]
 
 
-def read(path: pathlib.Path) -> Day:
+def read(path: pathlib.Path) -> DayReport:
     """Read one report.
 
-    :raises ReportError: when it cannot be read
+    :raises ReportError: if it cannot be read
     """
     try:
-        plain = json.loads(path.read_text())
-        broken = [str(rule) for rule in plain["breaks"]]
-        broken += [str(plain["fault"])] if plain["fault"] else []
-        return Day(
-            float(plain["G"]),
-            {each["name"]: float(each["worth"]) for each in plain["classes"]},
-            {int(float(each["name"])): float(each["worth"]) for each in plain["windows"]},
-            tuple(broken),
+        report = json.loads(path.read_text())
+        violations = [str(rule) for rule in report["breaks"]]
+        violations += [str(report["fault"])] if report["fault"] else []
+        return DayReport(
+            float(report["G"]),
+            {row["name"]: float(row["worth"]) for row in report["classes"]},
+            {int(float(row["name"])): float(row["worth"]) for row in report["windows"]},
+            tuple(violations),
         )
     except (OSError, ValueError, KeyError, TypeError) as error:
         raise ReportError(f"{path}: {type(error).__name__}: {error}") from error
--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -1,4 +1,4 @@
-"""Backend servers for the soak: their registrations, orders and requests, over HTTP."""
+"""Backend servers of the soak: registrations, orders and requests, over HTTP."""
 
 import json
 import urllib.parse
@@ -12,61 +12,70 @@
 from toucanhold.registry import servers
 from toucanhold.replicas import orders
 
-EVENTS = 12
-EVENT_S = 0.03
-WORK_S = 0.03
+EVENTS_PER_STREAM = 12
+EVENT_INTERVAL_S = 0.03
+PLAIN_REQUEST_S = 0.03
 PLAIN_SERVICE = "desk"
-ORDERS = {"join": orders.Join, "open": orders.Open, "close": orders.Close, "leave": orders.Leave}
+ORDER_CLASSES = {
+    "join": orders.Join,
+    "open": orders.Open,
+    "close": orders.Close,
+    "leave": orders.Leave,
+}
 
 
 @attrs.define(eq=False)
-class SoakStore(standins.StoreApp):
-    """The store, whose leases run out."""
+class ExpiringStore(standins.StoreApp):
+    """A store whose leases expire.
+
+    :ivar leases: time to live in ms and expiry time in s, by lease
+    """
 
     async def run(self):
-        """End leases in time, until cancelled."""
+        """Remove expired leases until cancelled."""
         while True:
             await trio.sleep(0.05)
             now_s = trio.current_time()
             for number, (_, end_s) in list(self.leases.items()):
                 if end_s < now_s:
-                    self._end(number)
+                    self._expire_lease(number)
 
     def delete(self, key):
         if self.items.pop(key, None) is not None:
             self.revision += 1
             tombstone = {"key": key, "revision": self.revision, "tombstone": True}
             self.history.append(tombstone)
-            self._wake()
+            self._notify_watchers()
 
-    def _lease(self, method, path, plain):
+    def _lease(self, method, path, data):
         if path == "/kv-lease":
             number = self.revision * 1000 + len(self.leases)
-            self.leases[number] = plain["ttl_ms"], trio.current_time() + plain["ttl_ms"] / 1000
-            return 200, {"lease": number, "ttl_ms": plain["ttl_ms"]}
+            self.leases[number] = data["ttl_ms"], trio.current_time() + data["ttl_ms"] / 1000
+            return 200, {"lease": number, "ttl_ms": data["ttl_ms"]}
         number = int(path.rpartition("/")[2])
         if number not in self.leases:
             return 404, {}
         ttl_ms = self.leases[number][0]
         self.leases[number] = ttl_ms, trio.current_time() + ttl_ms / 1000
         if method == "DELETE":
-            self._end(number)
+            self._expire_lease(number)
         return 200, {"ttl_ms": ttl_ms}
 
-    def _end(self, number):
+    def _expire_lease(self, number):
         del self.leases[number]
         for key in [key for key, item in self.items.items() if item["lease"] == number]:
             self.delete(key)
 
 
 @attrs.define(eq=False)
-class Registrations:
-    """Takes registrations as the stand-ins write them, and puts them as the platform has them.
+class RegistrationStore:
+    """Converts registrations of the stand-ins into records in the platform's format.
 
-    :ivar addresses: where each server is reached
+    :ivar addresses: address of each server, by name
+    :ivar sequence: number of the last record
     """
 
-    store: SoakStore
+    store: ExpiringStore
     addresses: dict
     sequence: int = 0
 
@@ -79,7 +88,7 @@
                 continue
             self.sequence += 1
             state = codec.from_json(write.value, servers.Server)
-            plain = plain_state(state) | {
+            data = model_fields(state) | {
                 "service": service_of(state),
                 "address": self.addresses[name],
                 "zone": state.zone,
@@ -89,52 +98,52 @@
                 "cold_left_ms": 0,
                 "seq": self.sequence,
             }
-            self.store.put(f"servers/{name}", json.dumps(plain).encode())
+            self.store.put(f"servers/{name}", json.dumps(data).encode())
 
 
 def service_of(state):
-    """Return the service of a server: those without a domain run no models."""
+    """Return the service of a server; servers without a domain run no models."""
     return state.service if state.domain else PLAIN_SERVICE
 
 
-def plain_state(state):
-    """What a server tells wherever it tells of its models."""
-    plain = {
+def model_fields(state):
+    """Return the fields on models and group that records and reports share."""
+    data = {
         "born": state.born_ms,
         "domain": state.domain,
         "models": [{"name": state.model, "version": 1}] if state.model else [],
         "staged": list(state.staged),
     }
     if state.membership is not None:
-        plain["group"] = {
+        data["group"] = {
             "name": state.membership.group,
             "epoch": state.membership.epoch,
             "rank": state.membership.rank,
             "state": state.membership.state.value,
         }
-    return plain
+    return data
 
 
 @attrs.define(eq=False)
-class Runs:
-    """What backend servers saw.
+class RunLog:
+    """Runs that backend servers began.
 
-    :ivar begun: attempt to the servers that began to run it, and when
+    :ivar runs_by_attempt: servers that began to run an attempt, with the times, by attempt
     """
 
-    begun: dict = attrs.field(factory=dict)
+    runs_by_attempt: dict = attrs.field(factory=dict)
 
-    def note(self, attempt, server):
-        self.begun.setdefault(attempt, []).append((server, trio.current_time()))
+    def record(self, attempt, server):
+        self.runs_by_attempt.setdefault(attempt, []).append((server, trio.current_time()))
 
 
 @attrs.define(eq=False)
 class BackendApp:
-    """One server's HTTP face."""
+    """HTTP interface of one server."""
 
     name: str
     fleet: replicas.MemoryServers
-    runs: Runs
+    run_log: RunLog
 
     @property
     def server(self):
@@ -150,8 +159,8 @@
             return
         if not self.server.is_reached:
             return
-        lines = {key.decode(): value.decode() for key, value in scope["headers"]}
-        if lines.get("x-target-instance", self.name) != self.name:
+        headers = {key.decode(): value.decode() for key, value in scope["headers"]}
+        if headers.get("x-target-instance", self.name) != self.name:
             await asgi.respond(send, 421, [(b"x-not-executed", b"1")], b"")
         elif scope["path"] == "/report":
             await self._report(send)
@@ -159,27 +168,27 @@
             await self._order(json.loads(body), send)
         else:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(_cancel_when_gone, receive, nursery.cancel_scope)
-                await self._run(scope, lines, send)
+                nursery.start_soon(_cancel_on_disconnect, receive, nursery.cancel_scope)
+                await self._run(scope, headers, send)
                 nursery.cancel_scope.cancel()
 
     async def _report(self, send):
         state = await self.fleet.probe(self.server.state())
         if state is not None:
             await asgi.respond_json(
-                send, 200, plain_state(state) | {"seq": state.order_count, "busy": False}
+                send, 200, model_fields(state) | {"seq": state.order_count, "busy": False}
             )
 
-    async def _order(self, plain, send):
-        fields = {name: plain[name] for name in ("group", "epoch")}
-        match plain["op"]:
+    async def _order(self, data, send):
+        fields = {name: data[name] for name in ("group", "epoch")}
+        match data["op"]:
             case "join":
-                fields |= {"model": plain["model"], "members": tuple(plain["members"])}
+                fields |= {"model": data["model"], "members": tuple(data["members"])}
             case "close":
-                fields["finishes_work"] = plain["mode"] == "wait"
-        order = ORDERS[plain["op"]](**fields)
+                fields["finishes_work"] = data["mode"] == "wait"
+        order = ORDER_CLASSES[data["op"]](**fields)
         outcome = await self.fleet.send(
-            self.server.state(), order, plain["precondition"], plain["fence"]
+            self.server.state(), order, data["precondition"], data["fence"]
         )
         statuses = {
             orders.OrderOutcome.BEGUN: 202,
@@ -189,7 +198,7 @@
         if outcome in statuses:
             await asgi.respond(send, statuses[outcome], [], b"")
 
-    async def _run(self, scope, lines, send):
+    async def _run(self, scope, headers, send):
         server = self.server
         state = server.state()
         is_model = bool(state.domain)
@@ -198,38 +207,42 @@
             if membership is None or membership.state is not servers.GroupState.OPEN:
                 await asgi.respond(send, 421, [(b"x-not-executed", b"1")], b"")
                 return
-            size = self.fleet.engine.model(server.model).size
+            model_size = self.fleet.engine.model(server.model).size
             if server.stalled_at_s < float("inf"):
                 await trio.sleep(replicas.STALL_S)
                 await asgi.respond(send, 503, [(b"x-not-executed", b"1")], b"")
                 return
-            self.fleet.run_request(self.name, size)
-        self.runs.note(lines["x-attempt-id"], self.name)
-        seal = [
-            (b"x-attempt-id", lines["x-attempt-id"].encode()),
+            self.fleet.run_request(self.name, model_size)
+        self.run_log.record(headers["x-attempt-id"], self.name)
+        response_headers = [
+            (b"x-attempt-id", headers["x-attempt-id"].encode()),
             (b"x-server-seal", self.name.encode()),
         ]
         if is_model:
-            await self._stream(lines, [*seal, (b"content-type", b"text/event-stream")], send)
+            await self._stream(
+                headers, [*response_headers, (b"content-type", b"text/event-stream")], send
+            )
             return
-        await trio.sleep(WORK_S)
+        await trio.sleep(PLAIN_REQUEST_S)
         if self.server.is_reached:
-            await asgi.respond(send, 200, seal, urllib.parse.unquote(scope["path"]).encode())
+            await asgi.respond(
+                send, 200, response_headers, urllib.parse.unquote(scope["path"]).encode()
+            )
 
-    async def _stream(self, lines, seal, send):
+    async def _stream(self, headers, response_headers, send):
         born_ms = self.server.born_ms
-        await asgi.start(send, 200, seal)
-        for number in range(int(lines.get("last-event-id", "-1")) + 1, EVENTS):
-            await trio.sleep(EVENT_S)
+        await asgi.start(send, 200, response_headers)
+        for number in range(int(headers.get("last-event-id", "-1")) + 1, EVENTS_PER_STREAM):
+            await trio.sleep(EVENT_INTERVAL_S)
             while self.server.stalled_at_s < float("inf"):
-                await trio.sleep(EVENT_S)
+                await trio.sleep(EVENT_INTERVAL_S)
             if not self.server.is_reached or self.server.born_ms != born_ms:
                 return
             await asgi.write(send, f"id: {number}\ndata: word-{number}\n\n".encode(), True)
         await asgi.write(send, b"", False)
 
 
-async def _cancel_when_gone(receive, scope):
+async def _cancel_on_disconnect(receive, scope):
     while (await receive())["type"] != "http.disconnect":
         pass
     scope.cancel()
--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: they keep connections, check each answer, and come back as they are told."""
+"""Callers of the soak, which keep connections, check each response and obey retry-after."""
 
 import itertools
 import json
@@ -12,53 +12,63 @@
 
 CALLERS = 8
 DEADLINE_S = 4.0
-PAUSE_S = 0.15
+REQUEST_INTERVAL_S = 0.15
 KINDS = ("stream", "stream", "order", "lookup")
-PROMISES = (429, 503, 408, 421)
-ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException, OSError)
+NOT_RUN_STATUSES = (429, 503, 408, 421)
+CONNECTION_ERRORS = (
+    httpcore.NetworkError,
+    httpcore.ProtocolError,
+    httpcore.TimeoutException,
+    OSError,
+)
 
 
 @attrs.define(eq=False)
-class Record:
-    """What callers got.
+class CallerRecord:
+    """Results that callers received.
 
-    :ivar promised: attempts that were said not to have run
-    :ivar wrong: answers that no caller should get
-    :ivar ends: outcome of each attempt with its time and kind
+    :ivar refused_attempts: attempts that were reported not to have run
+    :ivar order_attempts: attempts that were orders
+    :ivar invalid_responses: descriptions of responses that no caller should receive
+    :ivar outcomes: time, kind and outcome of each attempt
     """
 
-    promised: list = attrs.field(factory=list)
-    orders: list = attrs.field(factory=list)
-    wrong: list = attrs.field(factory=list)
-    ends: list = attrs.field(factory=list)
+    refused_attempts: list = attrs.field(factory=list)
+    order_attempts: list = attrs.field(factory=list)
+    invalid_responses: list = attrs.field(factory=list)
+    outcomes: list = attrs.field(factory=list)
 
     def served_since(self, since_s, kind):
-        """Return how many attempts of a kind were made since a time, and how many were served."""
-        found = [end for at_s, each, end in self.ends if at_s >= since_s and each == kind]
-        return len(found), found.count("served")
+        """Return the numbers of attempts made and served since a time, for one kind."""
+        kind_outcomes = [
+            outcome
+            for sent_at_s, outcome_kind, outcome in self.outcomes
+            if sent_at_s >= since_s and outcome_kind == kind
+        ]
+        return len(kind_outcomes), kind_outcomes.count("served")
 
 
 @attrs.define(eq=False)
 class Caller:
-    """One caller."""
+    """One caller, which sends one request at a time."""
 
     site: sites.Site
-    record: Record
+    record: CallerRecord
     name: str
-    numbers: itertools.count = attrs.field(factory=itertools.count)
+    attempt_numbers: itertools.count = attrs.field(factory=itertools.count)
 
     async def run(self):
         """Send requests until cancelled."""
         async with httpcore.AsyncConnectionPool(retries=0, keepalive_expiry=5) as pool:
             while True:
-                await trio.sleep(self.site.rng.uniform(0.5, 1.5) * PAUSE_S)
+                await trio.sleep(self.site.rng.uniform(0.5, 1.5) * REQUEST_INTERVAL_S)
                 addresses = await self._resolve()
                 if not addresses:
                     continue
                 kind = self.site.rng.choice(KINDS)
-                again_s = await self._send(pool, self.site.rng.choice(addresses), kind)
-                if again_s is not None:
-                    await trio.sleep(min(again_s, DEADLINE_S / 3))
+                retry_after_s = await self._send(pool, self.site.rng.choice(addresses), kind)
+                if retry_after_s is not None:
+                    await trio.sleep(min(retry_after_s, DEADLINE_S / 3))
                     await self._send(pool, self.site.rng.choice(addresses), kind)
 
     async def _resolve(self):
@@ -67,55 +77,61 @@
             try:
                 with trio.fail_after(1):
                     async with httpcore.AsyncConnectionPool(retries=0) as pool:
-                        answer = await pool.request("GET", f"http://{address}/resolve?zone=zone-a")
-            except (*ERRORS, trio.TooSlowError):
+                        response = await pool.request(
+                            "GET", f"http://{address}/resolve?zone=zone-a"
+                        )
+            except (*CONNECTION_ERRORS, trio.TooSlowError):
                 continue
-            if answer.status == 200:
-                return json.loads(answer.content)["addresses"]
+            if response.status == 200:
+                return json.loads(response.content)["addresses"]
         return []
 
     async def _send(self, pool, address, kind):
-        attempt = f"{self.name}-{next(self.numbers)}"
+        attempt = f"{self.name}-{next(self.attempt_numbers)}"
         path = f"/{kind}/{attempt}"
         if kind == "order":
-            self.record.orders.append(attempt)
-        end, again_s = "lost", None
-        began_s = trio.current_time()
+            self.record.order_attempts.append(attempt)
+        outcome, retry_after_s = "lost", None
+        started_at_s = trio.current_time()
         with trio.move_on_after(DEADLINE_S):
             try:
-                answer = await self._ask(pool, address, kind, attempt, path)
-                end, again_s = self._judge(answer, kind, attempt, path)
-            except ERRORS:
+                response = await self._request(pool, address, kind, attempt, path)
+                outcome, retry_after_s = self._check_response(response, kind, attempt, path)
+            except CONNECTION_ERRORS:
                 pass
-        self.record.ends.append((began_s, kind, end))
-        return again_s
+        self.record.outcomes.append((started_at_s, kind, outcome))
+        return retry_after_s
 
-    async def _ask(self, pool, address, kind, attempt, path):
-        lines = [
+    async def _request(self, pool, address, kind, attempt, path):
+        headers = [
             ("host", sites.HOST),
             ("x-attempt-id", attempt),
             ("x-deadline-remaining-ms", str(int(DEADLINE_S * 1000))),
             ("x-credential", sites.KEY),
         ]
         if kind == "stream":
-            lines.append(("x-model", self.site.rng.choice(sites.MODELS).name))
+            headers.append(("x-model", self.site.rng.choice(sites.MODELS).name))
         method = "GET" if kind == "lookup" else "POST"
-        return await pool.request(method, f"http://{address}{path}", headers=lines)
-
-    def _judge(self, answer, kind, attempt, path):
-        lines = {key.decode().lower(): value.decode() for key, value in answer.headers}
-        if answer.status in PROMISES:
-            self.record.promised.append(attempt)
-            return "refused", float(lines.get("retry-after", "nan"))
-        if answer.status != 200:
-            if answer.status in (400, 401, 403, 404):
-                self.record.wrong.append(f"{attempt}: status {answer.status}")
-            return f"status {answer.status}", None
+        return await pool.request(method, f"http://{address}{path}", headers=headers)
+
+    def _check_response(self, response, kind, attempt, path):
+        headers = {key.decode().lower(): value.decode() for key, value in response.headers}
+        if response.status in NOT_RUN_STATUSES:
+            self.record.refused_attempts.append(attempt)
+            return "refused", float(headers.get("retry-after", "nan"))
+        if response.status != 200:
+            if response.status in (400, 401, 403, 404):
+                self.record.invalid_responses.append(f"{attempt}: status {response.status}")
+            return f"status {response.status}", None
         expected = path.encode() if kind != "stream" else _stream_body()
-        if answer.content != expected or "x-server-seal" not in lines:
-            self.record.wrong.append(f"{attempt}: a wrong answer, {answer.content[:80]!r}")
+        if response.content != expected or "x-server-seal" not in headers:
+            self.record.invalid_responses.append(
+                f"{attempt}: a wrong answer, {response.content[:80]!r}"
+            )
         return "served", None
 
 
 def _stream_body():
-    return b"".join(f"id: {n}\ndata: word-{n}\n\n".encode() for n in range(backends.EVENTS))
+    return b"".join(
+        f"id: {n}\ndata: word-{n}\n\n".encode() for n in range(backends.EVENTS_PER_STREAM)
+    )
--- a/tests/platform/soak/running.py
+++ b/tests/platform/soak/running.py
@@ -1,4 +1,4 @@
-"""One run of the soak, and what it checks."""
+"""One run of the soak and its checks."""
 
 import collections
 import pathlib
@@ -12,55 +12,59 @@
 from tests.platform.soak import site as sites
 
 FAULTS_S = 20.0
-# Loads take under a second here, a head that cannot be reached is outlasted for 4.5 s, leases for
-# 3 s, and a server that was passed over several times comes back after 12 s.
+# The longest recovery here is 12 s, for a server that was skipped several times. Loads take under
+# 1 s, an unreachable head is tolerated for 4.5 s, and leases expire after 3 s.
 RECOVERY_S = 16.0
-CHECKED_S = 4.0
-# Imports take seconds where many processes start beside other work.
-START_LIMIT_S = 60.0
+CHECK_WINDOW_S = 4.0
+# Imports take seconds when many processes start on a loaded machine.
+START_TIMEOUT_S = 60.0
 
 
 @attrs.define(eq=False)
 class Result:
-    """What a run has shown.
+    """Result of a run.
 
-    :ivar violations: promises that were broken; empty for a good run
+    :ivar violations: descriptions of violated guarantees; empty if the run passed
+    :ivar faults: time in s and description of each fault
+    :ivar outcome_counts: number of attempts by kind and outcome
     """
 
     seed: int
     violations: list
     faults: list
-    ends: collections.Counter
+    outcome_counts: collections.Counter
 
 
 def subnet(seed: int) -> str:
-    """Return two numbers of loopback addresses that no other seed beside this one has."""
+    """Return the middle two bytes of loopback addresses, distinct for seeds run in parallel."""
     return f"{64 + seed // 250 % 64}.{seed % 250}"
 
 
 async def run(seed: int, folder: pathlib.Path, subnet: str, faults_s: float = FAULTS_S) -> Result:
-    """Play one seed."""
+    """Run one seed for ``faults_s`` of faults and the recovery after them."""
     async with sites.running(seed, folder, subnet) as site:
-        record = callers.Record()
-        drawn = faults.Faults(site)
+        caller_record = callers.CallerRecord()
+        injector = faults.FaultInjector(site)
         async with trio.open_nursery() as nursery:
-            with trio.fail_after(START_LIMIT_S):
-                await _wait_until_all_serve(site)
+            with trio.fail_after(START_TIMEOUT_S):
+                await _wait_until_serving(site)
             for number in range(callers.CALLERS):
-                nursery.start_soon(callers.Caller(site, record, f"c{seed}-{number}").run)
+                nursery.start_soon(callers.Caller(site, caller_record, f"c{seed}-{number}").run)
             await trio.sleep(2)
-            await drawn.run(faults_s)
+            await injector.run(faults_s)
             await trio.sleep(RECOVERY_S)
             since_s = trio.current_time()
-            await trio.sleep(CHECKED_S)
-            violations = await _check_recovery(site, record, since_s)
+            await trio.sleep(CHECK_WINDOW_S)
+            violations = await _check_recovery(site, caller_record, since_s)
             nursery.cancel_scope.cancel()
-        violations += _check_history(site, record)
-        ends = collections.Counter(f"{kind} {end}" for _, kind, end in record.ends)
-        return Result(seed, violations, drawn.told, ends)
+        violations += _check_history(site, caller_record)
+        outcome_counts = collections.Counter(
+            f"{kind} {outcome}" for _, kind, outcome in caller_record.outcomes
+        )
+        return Result(seed, violations, injector.events, outcome_counts)
 
 
-async def _wait_until_all_serve(site):
+async def _wait_until_serving(site):
     for entry in site.entries:
         await processes.wait_listening(site.address(entry, "front"))
     names = {model.name for model in sites.MODELS}
@@ -68,32 +72,34 @@
         await trio.sleep(0.2)
 
 
-def _check_history(site, record):
-    found = [f"group: {text}" for text in site.fleet.broken]
-    found += [f"answer: {text}" for text in record.wrong]
-    found += [f"process: {text}" for text in site.entry_ends]
-    orders = set(record.orders)
-    for attempt in orders:
-        if len(site.runs.begun.get(attempt, ())) > 1:
-            found.append(f"order {attempt} ran twice: {site.runs.begun[attempt]}")
-    for attempt in record.promised:
-        # What may be repeated may have run before it was refused.
-        if attempt in site.runs.begun and attempt in orders:
-            found.append(f"{attempt} was said not to have run: {site.runs.begun[attempt]}")
+def _check_history(site, caller_record):
+    violations = [f"group: {text}" for text in site.fleet.broken]
+    violations += [f"answer: {text}" for text in caller_record.invalid_responses]
+    violations += [f"process: {text}" for text in site.stop_failures]
+    order_attempts = set(caller_record.order_attempts)
+    for attempt in order_attempts:
+        if len(site.run_log.runs_by_attempt.get(attempt, ())) > 1:
+            violations.append(f"order {attempt} ran twice: {site.run_log.runs_by_attempt[attempt]}")
+    for attempt in caller_record.refused_attempts:
+        # An idempotent request may have run before it was refused.
+        if attempt in site.run_log.runs_by_attempt and attempt in order_attempts:
+            violations.append(
+                f"{attempt} was said not to have run: {site.run_log.runs_by_attempt[attempt]}"
+            )
     for entry in site.entries:
         if not site.group.is_running(entry):
-            found.append(f"process: {entry} has ended by itself")
-    return found
+            violations.append(f"process: {entry} has ended by itself")
+    return violations
 
 
-async def _check_recovery(site, record, since_s):
-    found = []
+async def _check_recovery(site, caller_record, since_s):
+    violations = []
     for kind in set(callers.KINDS):
-        made, served = record.served_since(since_s, kind)
-        if not made or served < 0.9 * made:
-            found.append(f"recovery: {served} of {made} {kind} requests served")
-    newest = site.routes[-1]
-    lines = [
+        sent, served = caller_record.served_since(since_s, kind)
+        if not sent or served < 0.9 * sent:
+            violations.append(f"recovery: {served} of {sent} {kind} requests served")
+    newest_prefix = site.route_prefixes[-1]
+    headers = [
         ("host", sites.HOST),
         ("x-credential", sites.KEY),
         ("x-deadline-remaining-ms", "2000"),
@@ -101,11 +107,11 @@
     ]
     async with httpcore.AsyncConnectionPool(retries=0) as pool:
         for entry in site.entries:
-            url = f"http://{site.address(entry, 'front')}{newest}check"
+            url = f"http://{site.address(entry, 'front')}{newest_prefix}check"
             try:
-                status = (await pool.request("GET", url, headers=lines)).status
-            except callers.ERRORS as error:
+                status = (await pool.request("GET", url, headers=headers)).status
+            except callers.CONNECTION_ERRORS as error:
                 status = repr(error)
             if status != 200:
-                found.append(f"configuration: {entry} answers {status} on the newest route")
-    return found
+                violations.append(f"configuration: {entry} answers {status} on the newest route")
+    return violations
--- a/tests/platform/soak/site.py
+++ b/tests/platform/soak/site.py
@@ -1,4 +1,4 @@
-"""The site of a soak: a store, backend servers, an operator, and entries as processes."""
+"""The site of the soak: a store, backend servers, an operator, and entries as processes."""
 
 import contextlib
 import json
@@ -29,9 +29,12 @@
 
 @attrs.define(eq=False, slots=False)
 class Site:
-    """Everything of one run.
+    """All parts of one run.
 
-    :ivar subnet: two numbers of the loopback addresses of this run's entries
+    :ivar subnet: middle two bytes of the loopback addresses of this run's entries
+    :ivar version: version of the current configuration
+    :ivar route_prefixes: path prefixes that configurations added, in order
+    :ivar stop_failures: descriptions of stops that were slow or failed
     """
 
     seed: int
@@ -40,23 +43,23 @@
     nursery: trio.Nursery
     group: processes.ProcessGroup
     version: int = 0
-    routes: list = attrs.field(factory=list)
-    entry_ends: list = attrs.field(factory=list)
+    route_prefixes: list = attrs.field(factory=list)
+    stop_failures: list = attrs.field(factory=list)
     store_proxies: dict = attrs.field(factory=dict)
     server_proxies: dict = attrs.field(factory=dict)
 
     def __attrs_post_init__(self):
         self.rng = random.Random(self.seed)
-        self.store = backends.SoakStore()
+        self.store = backends.ExpiringStore()
         self.addresses = {}
         self.engine = replicas.new_engine(*MODELS)
         self.fleet = replicas.MemoryServers(
-            backends.Registrations(self.store, self.addresses),
+            backends.RegistrationStore(self.store, self.addresses),
             self.engine,
             self.nursery,
             random.Random(self.seed),
         )
-        self.runs = backends.Runs()
+        self.run_log = backends.RunLog()
 
     @property
     def entries(self):
@@ -65,23 +68,23 @@
     def host(self, entry):
         return f"127.{self.subnet}.{entry.rpartition('-')[2]}"
 
-    def address(self, entry, face):
-        return f"{self.host(entry)}:{PORTS[face]}"
+    def address(self, entry, interface):
+        return f"{self.host(entry)}:{PORTS[interface]}"
 
     async def start(self):
-        """Start everything; return when both models and the plain service answer."""
+        """Start the store, the backend servers and the entry processes."""
         self.nursery.start_soon(self.store.run)
-        store_address = await self._serve(self.store)
+        store_address = await self._start_server(self.store)
         for entry in self.entries:
-            self.store_proxies[entry] = await self._proxy(store_address)
+            self.store_proxies[entry] = await self._start_proxy(store_address)
         names = [f"s{n}" for n in range(MODEL_SERVERS)] + [f"p{n}" for n in range(PLAIN_SERVERS)]
         for number, name in enumerate(names):
-            app = backends.BackendApp(name, self.fleet, self.runs)
-            self.server_proxies[name] = await self._proxy(await self._serve(app))
+            app = backends.BackendApp(name, self.fleet, self.run_log)
+            self.server_proxies[name] = await self._start_proxy(await self._start_server(app))
             self.addresses[name] = self.server_proxies[name].address
             domain = "d0" if name.startswith("s") else ""
             await self.fleet.add(name, domain, ZONES[number % len(ZONES)])
-        self.configure()
+        self.put_configuration()
         for entry in self.entries:
             await self.start_entry(entry)
 
@@ -93,15 +96,18 @@
             entry, ["toucanhold", "platform"], {"TOUCANHOLD_SETTINGS": str(path)}
         )
 
-    def configure(self):
-        """Put a new version in force, with one route more."""
+    def put_configuration(self):
+        """Store a new version of the configuration, with one more route."""
         self.version += self.rng.randint(1, 5)
-        self.routes.append(f"/more-{self.version}/")
+        self.route_prefixes.append(f"/more-{self.version}/")
         routes = [
             _route("/stream/", replicas.SERVICE, "streaming", resumable=True, attempts=2),
             _route("/order/", backends.PLAIN_SERVICE, "non_idempotent"),
             _route("/lookup/", backends.PLAIN_SERVICE, "idempotent", attempts=2),
-            *(_route(prefix, backends.PLAIN_SERVICE, "idempotent") for prefix in self.routes),
+            *(
+                _route(prefix, backends.PLAIN_SERVICE, "idempotent")
+                for prefix in self.route_prefixes
+            ),
         ]
         engine = {
             "slots": self.engine.slots,
@@ -114,31 +120,32 @@
             {"name": backends.PLAIN_SERVICE},
         ]
         tenants = [{"name": "w", "api_keys": [KEY]}]
-        plain = {"version": self.version, "routes": routes, "services": services}
-        self.store.put("op/config", json.dumps(plain | {"tenants": tenants}).encode())
+        configuration = {"version": self.version, "routes": routes, "services": services}
+        self.store.put("op/config", json.dumps(configuration | {"tenants": tenants}).encode())
 
-    async def _serve(self, app):
+    async def _start_server(self, app):
         stack = contextlib.AsyncExitStack()
         address = standins.free_address()
 
-        async def hold(*, task_status):
+        async def serve_until_cancelled(*, task_status):
             async with stack:
                 await stack.enter_async_context(standins.serve_app(app, address))
                 task_status.started()
                 await trio.sleep_forever()
 
-        await self.nursery.start(hold)
+        await self.nursery.start(serve_until_cancelled)
         return address
 
-    async def _proxy(self, target):
+    async def _start_proxy(self, target):
         proxy = proxies.Proxy(target)
         await self.nursery.start(proxy.run)
         return proxy
 
     def _settings(self, entry):
         zone = ZONES[int(entry.rpartition("-")[2]) % len(ZONES)]
-        listen = "\n".join(
-            f'{face} = "{self.address(entry, face)}"' for face in ("front", "ready", "directory")
+        listen_lines = "\n".join(
+            f'{interface} = "{self.address(entry, interface)}"'
+            for interface in ("front", "ready", "directory")
         )
         return f"""
 node = "{entry}"
@@ -147,7 +154,7 @@
 ip = "{self.host(entry)}"
 internal_ports = [{PORTS["between"]}, {PORTS["between"] + 15}]
 [listen]
-{listen}
+{listen_lines}
 [limits]
 cpu_share = 1.0
 cores = 1
@@ -162,7 +169,7 @@
 """
 
 
-def _route(prefix, service, kind, **more):
+def _route(prefix, service, kind, **overrides):
     return {
         "name": prefix.strip("/"),
         "host": HOST,
@@ -173,12 +180,12 @@
         "goal_ms": 300,
         "gap_target_ms": 300,
         "priority": 1,
-    } | more
+    } | overrides
 
 
 @contextlib.asynccontextmanager
 async def running(seed, folder, subnet):
-    """Run a site; its processes end with the context."""
+    """Run a site and yield it; its processes end with the context."""
     async with processes.ProcessGroup(folder) as group, trio.open_nursery() as nursery:
         site = Site(seed, folder, subnet, nursery, group)
         await site.start()
--- a/tests/platform/test_paired.py
+++ b/tests/platform/test_paired.py
@@ -1,4 +1,4 @@
-"""The comparison of two checkouts over played days."""
+"""Comparison of two checkouts over paired runs."""
 
 import json
 import math
@@ -9,7 +9,7 @@
 
 import trio
 
-from tests.platform.paired import pairing, playing, reports
+from tests.platform.paired import bench_runs, pairing, reports
 
 BENCH = """#!/bin/sh
 while [ "$1" != --report ]; do shift; done
@@ -18,7 +18,7 @@
 
 
 def new_day(worth, kinds=None, seconds=None):
-    return reports.Day(worth, kinds or {}, seconds or {}, ())
+    return reports.DayReport(worth, kinds or {}, seconds or {}, ())
 
 
 def new_report(worth):
@@ -32,36 +32,36 @@
 
 
 def new_days(worths):
-    return {pairing.Play("site", "day", seed): new_day(each) for seed, each in enumerate(worths)}
+    return {pairing.RunKey("site", "day", seed): new_day(each) for seed, each in enumerate(worths)}
 
 
 class DifferenceTest(unittest.TestCase):
-    def test_only_what_was_played_with_both_counts(self):
+    def test_only_runs_of_both_checkouts_are_compared(self):
         before, after = new_days([0.5, 0.6]), new_days([0.6])
-        found = pairing.differences(before, after, lambda play: play.site)["site"]
-        self.assertEqual(1, found.plays)
+        found = pairing.paired_differences(before, after, lambda run_key: run_key.site)["site"]
+        self.assertEqual(1, found.pairs)
         self.assertAlmostEqual(0.1, found.mean)
         self.assertTrue(math.isnan(found.error))
-        self.assertFalse(found.is_told_from_luck)
+        self.assertFalse(found.is_significant)
 
-    def test_a_gain_in_each_pair_is_told_from_luck(self):
+    def test_a_gain_in_each_pair_is_significant(self):
         before, after = new_days([0.4, 0.5, 0.6]), new_days([0.5, 0.61, 0.7])
-        found = pairing.differences(before, after, lambda play: play.site)["site"]
-        self.assertTrue(found.is_told_from_luck)
+        found = pairing.paired_differences(before, after, lambda run_key: run_key.site)["site"]
+        self.assertTrue(found.is_significant)
 
-    def test_a_mean_that_one_lucky_pair_makes_is_not(self):
+    def test_a_mean_gain_from_one_outlier_is_not_significant(self):
         before, after = new_days([0.5, 0.5, 0.5]), new_days([0.5, 0.49, 0.8])
-        found = pairing.differences(before, after, lambda play: play.site)["site"]
-        self.assertFalse(found.is_told_from_luck)
+        found = pairing.paired_differences(before, after, lambda run_key: run_key.site)["site"]
+        self.assertFalse(found.is_significant)
         self.assertIn("luck?", pairing.table({"site": found}))
 
     def test_kinds_and_seconds_are_averaged_over_seeds(self):
         days = {
-            pairing.Play("site", "day", 1): new_day(0.5, {"notes": 0.4}, {0: 1.0, 2: 0.5}),
-            pairing.Play("site", "day", 2): new_day(0.5, {"notes": 0.6}, {0: 0.5}),
+            pairing.RunKey("site", "day", 1): new_day(0.5, {"notes": 0.4}, {0: 1.0, 2: 0.5}),
+            pairing.RunKey("site", "day", 2): new_day(0.5, {"notes": 0.6}, {0: 0.5}),
         }
         self.assertAlmostEqual(0.5, pairing.by_kind(days, days, "site")["notes"].before)
-        self.assertEqual({0: 0.75, 2: 0.5}, pairing.course(days, "site", "day"))
+        self.assertEqual({0: 0.75, 2: 0.5}, pairing.mean_worth_by_second(days, "site", "day"))
 
 
 class ReportTest(unittest.TestCase):
@@ -70,30 +70,30 @@
         self.addCleanup(scratch.cleanup)
         self.folder = pathlib.Path(scratch.name)
 
-    def test_broken_rules_and_faults_are_told(self):
+    def test_broken_rules_and_faults_are_reported(self):
         path = self.folder / "report.json"
         path.write_text(json.dumps(new_report(0.5) | {"breaks": {"RULE": 1}, "fault": "ended"}))
-        self.assertEqual(("RULE", "ended"), reports.read(path).broken)
+        self.assertEqual(("RULE", "ended"), reports.read(path).violations)
 
-    def test_a_report_of_another_shape_is_a_clear_error(self):
+    def test_a_malformed_report_raises_an_error_with_its_path(self):
         path = self.folder / "report.json"
         for content in ("", "[]", "{}", '{"G": "much"}'):
             path.write_text(content)
             with self.assertRaisesRegex(reports.ReportError, "report.json"):
                 reports.read(path)
 
-    def test_days_are_played_once_and_read(self):
+    def test_each_day_is_run_once_and_its_report_read(self):
         program = self.folder / "bench"
         program.write_text(BENCH)
         program.chmod(program.stat().st_mode | stat.S_IXUSR)
         (self.folder / "report.json").write_text(json.dumps(new_report(0.5)))
-        bench = playing.Bench(program, 2, "test")
-        plays = [pairing.Play("site", "day", seed) for seed in (1, 2)]
+        bench = bench_runs.Bench(program, 2, "test")
+        run_keys = [pairing.RunKey("site", "day", seed) for seed in (1, 2)]
         sites = {"site": pathlib.Path("site.toml")}
         for _ in range(2):
             found = trio.run(
-                playing.play_all, bench, self.folder, sites, plays, self.folder / "reports"
+                bench_runs.run_all, bench, self.folder, sites, run_keys, self.folder / "reports"
             )
             (self.folder / "report.json").write_text(json.dumps(new_report(0.9)))
         self.assertEqual([0.5, 0.5], [day.worth for day in found.values()])
-        self.assertEqual({"notes": 0.5}, found[plays[0]].by_kind)
+        self.assertEqual({"notes": 0.5}, found[run_keys[0]].by_kind)
