--- a/tests/clocked.py
+++ b/tests/clocked.py
@@ -1,4 +1,4 @@
-"""Tests on trio's test clock."""
+"""Runs async test methods on trio's test clock."""
 
 import functools
 
@@ -7,7 +7,7 @@
 
 
 def on_test_clock(function):
-    """Run an async test method on a clock that jumps over waits."""
+    """Run an async test method on a clock that skips waits."""
 
     @functools.wraps(function)
     def run(self):
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""The single-file binary: it runs without the source tree, writes nothing and starts nothing."""
+"""The single-file binary runs without the source tree, writes no file and starts no process."""
 
 import os
 import pathlib
@@ -11,8 +11,8 @@
 from standins import processes
 from tools import binary
 
-# Python's audit events tell of each process that is started and each file opened for writing.
-AUDIT = """
+# Reports each process start and each file opened for writing, from Python's audit events.
+AUDIT_HOOK = """
 import sys
 
 def watch(event, arguments):
@@ -31,55 +31,60 @@
         binary.main()
 
     def setUp(self):
-        scratch = tempfile.TemporaryDirectory()
-        self.addCleanup(scratch.cleanup)
-        self.folder = pathlib.Path(scratch.name)
-        (self.folder / "sitecustomize.py").write_text(AUDIT)
-        self.empty = self.folder / "empty"
-        self.empty.mkdir()
-        self.variables = {
+        temporary_folder = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary_folder.cleanup)
+        self.folder = pathlib.Path(temporary_folder.name)
+        (self.folder / "sitecustomize.py").write_text(AUDIT_HOOK)
+        self.empty_folder = self.folder / "empty"
+        self.empty_folder.mkdir()
+        self.environment = {
             "PATH": os.environ["PATH"],
-            "TMPDIR": str(self.empty),
-            "HOME": str(self.empty),
+            "TMPDIR": str(self.empty_folder),
+            "HOME": str(self.empty_folder),
             "PYTHONDONTWRITEBYTECODE": "1",
         }
 
-    def _run(self, *words: str, audited: bool = False) -> subprocess.CompletedProcess:
-        variables = dict(self.variables)
+    def _run(self, *arguments: str, audited: bool = False) -> subprocess.CompletedProcess:
+        environment = dict(self.environment)
         if audited:
-            variables["PYTHONPATH"] = str(self.folder)
-        command = [sys.executable, "-S", binary.OUTPUT_PATH, *words]
+            environment["PYTHONPATH"] = str(self.folder)
+        command = [sys.executable, "-S", binary.OUTPUT_PATH, *arguments]
         if audited:
-            # -S skips sitecustomize too, so the hook is imported by hand.
-            start = f"import sitecustomize, runpy, sys; sys.argv = {['toucanhold', *words]!r};"
-            start += f"runpy.run_path({str(binary.OUTPUT_PATH)!r}, run_name='__main__')"
-            command = [sys.executable, "-S", "-c", start]
+            # -S also skips sitecustomize, so the hook must be imported explicitly.
+            script = f"import sitecustomize, runpy, sys; sys.argv = {['toucanhold', *arguments]!r};"
+            script += f"runpy.run_path({str(binary.OUTPUT_PATH)!r}, run_name='__main__')"
+            command = [sys.executable, "-S", "-c", script]
         return subprocess.run(
-            command, cwd=self.empty, env=variables, capture_output=True, text=True, timeout=60
+            command,
+            cwd=self.empty_folder,
+            env=environment,
+            capture_output=True,
+            text=True,
+            timeout=60,
         )
 
-    def test_tells_its_version_outside_the_source_tree(self):
-        # -S hides installed packages: everything must come out of the file itself.
-        ran = self._run("--version")
-        self.assertEqual(0, ran.returncode, ran.stderr)
-        self.assertIn("0.1.0", ran.stdout)
+    def test_prints_its_version_outside_the_source_tree(self):
+        # -S hides installed packages, so all code must come from the file itself.
+        completed = self._run("--version")
+        self.assertEqual(0, completed.returncode, completed.stderr)
+        self.assertIn("0.1.0", completed.stdout)
 
     def test_is_one_executable_file(self):
         self.assertTrue(os.access(binary.OUTPUT_PATH, os.X_OK))
         self.assertTrue(binary.OUTPUT_PATH.is_file())
 
     def test_starts_no_process_and_writes_no_file(self):
-        # The operator sees a process that a policy against child processes lets run: trio's
-        # import used to run /sbin/ldconfig, which such a policy forbids.
-        ran = self._run("--version", audited=True)
-        self.assertEqual(0, ran.returncode, ran.stderr)
-        self.assertNotIn("STARTED", ran.stderr)
-        self.assertNotIn("WROTE", ran.stderr)
-        self.assertEqual([], list(self.empty.iterdir()))
+        # Guards against a start that a policy against child processes forbids: importing trio used
+        # to run /sbin/ldconfig.
+        completed = self._run("--version", audited=True)
+        self.assertEqual(0, completed.returncode, completed.stderr)
+        self.assertNotIn("STARTED", completed.stderr)
+        self.assertNotIn("WROTE", completed.stderr)
+        self.assertEqual([], list(self.empty_folder.iterdir()))
 
-    def test_a_running_entry_has_no_child_and_wrote_nothing(self):
+    def test_running_entry_has_no_child_process_and_wrote_no_file(self):
         addresses = processes.free_addresses(4)
-        words = []
+        arguments = []
         for flag, value in {
             "entry": "entry-0",
             "availability-zone": "zone-a",
@@ -91,18 +96,18 @@
             "peer-key": "0123456789abcdef",
             "directory-keep-s": "0.1",
         }.items():
-            words += [f"--{flag}", value]
-        command = [sys.executable, "-S", binary.OUTPUT_PATH, "entry", *words]
+            arguments += [f"--{flag}", value]
+        command = [sys.executable, "-S", binary.OUTPUT_PATH, "entry", *arguments]
         log = self.folder / "log"
         with log.open("wb") as stream:
             process = subprocess.Popen(
-                command, cwd=self.empty, env=self.variables, stderr=stream, stdout=stream
+                command, cwd=self.empty_folder, env=self.environment, stderr=stream, stdout=stream
             )
         try:
             self._wait_for_log(log, "ENTRY_STARTED")
             children = pathlib.Path(f"/proc/{process.pid}/task/{process.pid}/children")
             self.assertEqual("", children.read_text())
-            self.assertEqual([], list(self.empty.iterdir()))
+            self.assertEqual([], list(self.empty_folder.iterdir()))
             process.terminate()
             self.assertEqual(0, process.wait(30), log.read_text())
         finally:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The packages depend on each other one way."""
+"""The dependencies between packages have no cycles."""
 
 import ast
 import graphlib
@@ -11,22 +11,22 @@
 
 
 def imported_packages(path: pathlib.Path) -> set[str]:
-    found = set()
+    imported = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("toucanhold"):
             names = [f"{node.module}.{alias.name}" for alias in node.names]
-            found |= {name.split(".")[1] for name in names}
-    return {name for name in found if (ROOT / name).is_dir()}
+            imported |= {name.split(".")[1] for name in names}
+    return {name for name in imported if (ROOT / name).is_dir()}
 
 
 class LayersTest(unittest.TestCase):
-    def test_no_package_depends_on_one_that_depends_on_it(self):
+    def test_package_dependencies_have_no_cycles(self):
         graph = {}
-        for folder in ROOT.iterdir():
-            if (folder / "__init__.py").exists():
-                needed = set().union(*map(imported_packages, folder.glob("*.py")))
-                graph[folder.name] = needed - {folder.name}
+        for package_folder in ROOT.iterdir():
+            if (package_folder / "__init__.py").exists():
+                dependencies = set().union(*map(imported_packages, package_folder.glob("*.py")))
+                graph[package_folder.name] = dependencies - {package_folder.name}
         self.assertGreater(len(graph), 10)
-        # Raises CycleError, which names the packages.
-        order = list(graphlib.TopologicalSorter(graph).static_order())
-        self.assertLess(order.index("coordination"), order.index("routing"))
+        # Raises CycleError, whose message names the packages, if there is a cycle.
+        package_order = list(graphlib.TopologicalSorter(graph).static_order())
+        self.assertLess(package_order.index("coordination"), package_order.index("routing"))
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -1,21 +1,25 @@
-"""The fixed part of the fault matrix that CI runs; `make matrix` runs all of it."""
+"""The fixed subset of the fault matrix for CI; `make matrix` runs the whole matrix."""
 
 import unittest
 
 from tests.proof import matrix, procedures
-from tools import matrix as tool
+from tools import matrix as matrix_tool
 
 
 class MatrixTest(unittest.TestCase):
-    def test_fixed_part_passes(self):
-        verdicts = tool.run_all(tool.ci_subset())
+    def test_ci_subset_passes(self):
+        verdicts = matrix_tool.run_all(matrix_tool.ci_subset())
         failed = [verdict for verdict in verdicts.values() if not verdict.passed]
         self.assertEqual([], failed)
 
-    def test_part_has_every_step_and_every_fault(self):
-        cells = tool.ci_subset()
+    def test_ci_subset_covers_every_step_and_every_fault(self):
+        cells = matrix_tool.ci_subset()
         self.assertEqual(
-            {(each, step) for each in procedures.PROCEDURES for step in each.steps()},
+            {
+                (procedure, step)
+                for procedure in procedures.PROCEDURES
+                for step in procedure.steps()
+            },
             {(cell.procedure, cell.step) for cell in cells},
         )
         self.assertEqual(set(matrix.FAULTS), {fault for cell in cells for fault in cell.faults})
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -1,4 +1,4 @@
-"""Each check catches a deliberately broken variant of the program, and is silent without it."""
+"""Mutation tests of the checks: each detects its mutant and reports nothing without it."""
 
 import unittest
 from unittest import mock
@@ -16,24 +16,24 @@
 from toucanhold.routing import candidates, cold, requests
 
 
-def _call(testbed: site.Site, name: str, entry_name: str, kind: str, key: str = "") -> None:
+def _start_call(testbed: site.Site, name: str, entry_name: str, kind: str, key: str = "") -> None:
     sent = history.RequestSent(name, entry_name, kind, f"about-{name}", key)
     testbed.nursery.start_soon(testbed.call, sent)
 
 
-async def _calls(testbed: site.Site, kind: str, count: int, interval_s: float) -> None:
+async def _start_calls(testbed: site.Site, kind: str, count: int, interval_s: float) -> None:
     for number in range(count):
-        _call(testbed, f"{kind}{number}", f"entry-{1 + number % 3}", kind)
+        _start_call(testbed, f"{kind}{number}", f"entry-{1 + number % 3}", kind)
         await trio.sleep(interval_s)
 
 
-async def _calls_while_groups_form(testbed: site.Site) -> None:
-    testbed.nursery.start_soon(_groups_form, testbed)
+async def _call_while_groups_form(testbed: site.Site) -> None:
+    testbed.nursery.start_soon(_form_groups, testbed)
     await trio.sleep(2.1)
-    await _calls(testbed, "chat", 40, 0.1)
+    await _start_calls(testbed, "chat", 40, 0.1)
 
 
-async def _groups_form(testbed: site.Site) -> None:
+async def _form_groups(testbed: site.Site) -> None:
     for name in testbed.entry_names():
         testbed.start_entry(name)
     await trio.sleep(2)
@@ -41,43 +41,43 @@
     await trio.sleep(8)
 
 
-async def _many_at_once(testbed: site.Site) -> None:
+async def _send_orders_at_once(testbed: site.Site) -> None:
     await site.start_serving(testbed)
     testbed.servers["as"].turn_cold()
     testbed.servers["bs"].turn_cold()
     await trio.sleep(3)
-    await _calls(testbed, "order", 12, 0)
+    await _start_calls(testbed, "order", 12, 0)
     await trio.sleep(4)
 
 
-async def _zone_out(testbed: site.Site) -> None:
+async def _take_zone_out(testbed: site.Site) -> None:
     await site.start_serving(testbed)
     await testbed.set_zone("entry-1", "a", True)
-    await _calls(testbed, "lookup", 60, 0.2)
+    await _start_calls(testbed, "lookup", 60, 0.2)
 
 
-async def _server_leaves(testbed: site.Site) -> None:
+async def _make_server_leave(testbed: site.Site) -> None:
     await site.start_serving(testbed)
     faults.start_leaving(testbed, "as")
-    await _calls(testbed, "lookup", 60, 0.2)
+    await _start_calls(testbed, "lookup", 60, 0.2)
 
 
-async def _stream_is_cut(testbed: site.Site) -> None:
+async def _cut_stream(testbed: site.Site) -> None:
     await site.start_serving(testbed)
     await trio.sleep(3)
-    _call(testbed, "s1", "entry-1", "stream")
+    _start_call(testbed, "s1", "entry-1", "stream")
     await trio.sleep(0.3)
     for zone in testbed.layout.zones:
         faults.power_off_zone(testbed, zone)
     await testbed.wait_until(lambda: not testbed.pending_calls, 30)
 
 
-async def _server_dies_with_order(testbed: site.Site) -> None:
+async def _kill_server_with_order(testbed: site.Site) -> None:
     await site.start_serving(testbed)
     for number in range(4):
-        _call(testbed, f"o{number}", "entry-1", "order", f"k{number}")
+        _start_call(testbed, f"o{number}", "entry-1", "order", f"k{number}")
         await trio.sleep(0.5)
-    _call(testbed, "o9", "entry-2", "order", "k9")
+    _start_call(testbed, "o9", "entry-2", "order", "k9")
     await trio.sleep(0.1)
     for _, run in testbed.history.events_of(history.RunStarted):
         if run.key == "k9":
@@ -85,16 +85,16 @@
     await trio.sleep(3)
 
 
-async def _entry_stops(testbed: site.Site) -> None:
+async def _stop_entry(testbed: site.Site) -> None:
     await site.start_serving(testbed)
     await trio.sleep(3)
-    _call(testbed, "s1", "entry-1", "stream")
+    _start_call(testbed, "s1", "entry-1", "stream")
     await trio.sleep(0.1)
     testbed.stop_entry("entry-1")
     await trio.sleep(5)
 
 
-async def _late_message(testbed: site.Site) -> None:
+async def _deliver_late_configuration(testbed: site.Site) -> None:
     await site.start_serving(testbed)
     configuration = testbed.entries["entry-2"].app.configuration
     old = configuration.current.delta_since(0)
@@ -104,15 +104,20 @@
     await trio.sleep(1)
 
 
-class _AnyMembers(placement.FirstFit):
-    """Forms a group of the same two VMs for each wanted replica."""
+class _SameMembersPlacement(placement.FirstFit):
+    """Places each wanted replica on the same two VMs."""
 
-    def place(self, facts: placement.PlacementInput) -> placement.Placement:
-        groups = [plan.Group(f"fabric-b/{n}", n, "drafts", ("b1", "b2")) for n in (8, 9)]
+    def place(self, inputs: placement.PlacementInput) -> placement.Placement:
+        groups = [
+            plan.Group(f"fabric-b/{generation}", generation, "drafts", ("b1", "b2"))
+            for generation in (8, 9)
+        ]
         return placement.Placement((plan.DomainPlan("fabric-b", 0, 9, tuple(groups)),))
 
 
-def _apply_anything(self: holder.ConfigurationHolder, delta: snapshot.Delta, source: str) -> bool:
+def _apply_any_configuration(
+    self: holder.ConfigurationHolder, delta: snapshot.Delta, source: str
+) -> bool:
     changed = delta.number != self.current.number
     parts = dict(self.current.parts) | {part.name: part for part in delta.parts}
     self.current = snapshot.from_parts(delta.number, parts)
@@ -121,49 +126,50 @@
     return changed
 
 
-async def _end_cleanly(send: asgi.Send, *_: object) -> None:
+async def _end_stream_cleanly(send: asgi.Send, *_: object) -> None:
     await asgi.write(send, b"", False)
 
 
-async def _stop_at_once(self: entry.EntryApplication) -> None:
+async def _stop_immediately(self: entry.EntryApplication) -> None:
     await trio.lowlevel.checkpoint()
 
 
-def _never_ran(error: requests.RequestError, request_id: str, body=problems.body) -> bytes:
+def _claim_did_not_run(error: requests.RequestError, request_id: str, body=problems.body) -> bytes:
     outcome = requests.Outcome.DID_NOT_RUN
     return body(requests.RequestError(error.problem, outcome, error.detail), request_id)
 
 
 MUTANTS = {
     promises.whole_groups: (
-        _calls_while_groups_form,
+        _call_while_groups_form,
         (candidates.CandidateFinder, "_is_whole", lambda *_: True),
     ),
-    promises.one_group_per_vm: (_groups_form, (spreading, "Spreading", _AnyMembers)),
-    promises.cold_servers: (_many_at_once, (cold.SlotShares, "share", lambda *_: 100)),
+    promises.one_group_per_vm: (_form_groups, (spreading, "Spreading", _SameMembersPlacement)),
+    promises.cold_servers: (_send_orders_at_once, (cold.SlotShares, "share", lambda *_: 100)),
     promises.zones_out: (
-        _zone_out,
+        _take_zone_out,
         (candidates.CandidateFinder, "_may_work", lambda *_: True),
     ),
-    promises.whole_answers: (_stream_is_cut, (app, "_break_off", _end_cleanly)),
-    promises.true_refusals: (_server_dies_with_order, (problems, "body", _never_ran)),
+    promises.whole_answers: (_cut_stream, (app, "_break_off", _end_stream_cleanly)),
+    promises.true_refusals: (_kill_server_with_order, (problems, "body", _claim_did_not_run)),
     promises.at_most_once: (
-        _server_dies_with_order,
+        _kill_server_with_order,
         (rules.Service, "may_repeat", lambda *_: True),
     ),
-    promises.leaving_servers: (_server_leaves, (view.View, "is_leaving", lambda *_: False)),
-    promises.graceful_stops: (_entry_stops, (entry.EntryApplication, "stop", _stop_at_once)),
+    promises.leaving_servers: (_make_server_leave, (view.View, "is_leaving", lambda *_: False)),
+    promises.graceful_stops: (_stop_entry, (entry.EntryApplication, "stop", _stop_immediately)),
     promises.configurations: (
-        _late_message,
-        (holder.ConfigurationHolder, "apply", _apply_anything),
+        _deliver_late_configuration,
+        (holder.ConfigurationHolder, "apply", _apply_any_configuration),
     ),
 }
 
 
 class MutantTest(unittest.TestCase):
-    def test_matrix_catches_an_entry_that_works_on_an_old_configuration(self):
-        # An entry that reaches neither the platform nor a peer gives an availability zone new
-        # work long after it was taken out: it goes on with the configuration that it has.
+    def test_matrix_detects_an_entry_that_uses_an_old_configuration(self):
+        # Guards against a matrix that misses new work in an availability zone long after its
+        # take-out. An entry that reaches neither the platform nor a peer keeps its old
+        # configuration.
         cell = matrix.by_name("take-out.asked.other-isolated")
         self.assertTrue(matrix.run(cell)[0].passed)
         with mock.patch.object(permit.WorkPermit, "refusal", lambda *_: None):
@@ -174,27 +180,27 @@
         self.assertEqual(set(promises.PROMISES), set(MUTANTS))
 
 
-def _breaches(check, drive) -> list[str]:
-    return list(check(steps.new_run_record(site.run(site.SiteLayout(), drive))))
+def _violations(check, scenario) -> list[str]:
+    return list(check(steps.new_run_record(site.run(site.SiteLayout(), scenario))))
 
 
-def _test_caught(check):
+def _new_detection_test(check):
     def test(self):
-        drive, (target, name, variant) = MUTANTS[check]
-        with mock.patch.object(target, name, variant):
-            self.assertTrue(_breaches(check, drive), "the check did not catch its mutant")
+        scenario, (target, name, mutant) = MUTANTS[check]
+        with mock.patch.object(target, name, mutant):
+            self.assertTrue(_violations(check, scenario), "the check did not catch its mutant")
 
     return test
 
 
-def _test_silent(check):
+def _new_silence_test(check):
     def test(self):
-        drive, _ = MUTANTS[check]
-        self.assertEqual([], _breaches(check, drive))
+        scenario, _ = MUTANTS[check]
+        self.assertEqual([], _violations(check, scenario))
 
     return test
 
 
 for _check in promises.PROMISES:
-    setattr(MutantTest, f"test_{_check.__name__}_catches_its_mutant", _test_caught(_check))
-    setattr(MutantTest, f"test_{_check.__name__}_is_silent_without", _test_silent(_check))
+    setattr(MutantTest, f"test_{_check.__name__}_catches_its_mutant", _new_detection_test(_check))
+    setattr(MutantTest, f"test_{_check.__name__}_is_silent_without", _new_silence_test(_check))
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""Entries are replaced one after another under load, and no caller notices."""
+"""Rolling replacement of all entries under load."""
 
 import random
 import unittest
@@ -8,12 +8,12 @@
 
 from standins import site as sites
 
-PLAIN = "releases"
-MODEL = "drafts"
+PLAIN_SERVICE = "releases"
+MODEL_SERVICE = "drafts"
 SERVICES = (
-    {"name": MODEL, "model": "writer", "version": "1", "replicas": 2, "importance": 5},
+    {"name": MODEL_SERVICE, "model": "writer", "version": "1", "replicas": 2, "importance": 5},
     {
-        "name": PLAIN,
+        "name": PLAIN_SERVICE,
         "kind": "plain",
         "slots": 64,
         "non_idempotent": [{"method": "POST", "path": "/publish"}],
@@ -23,72 +23,73 @@
 
 
 class Caller:
-    """Asks the directory, keeps the answer as long as it may, and notes what goes wrong."""
+    """Queries the directory, caches its response for the stated time, and records failures."""
 
     def __init__(self, site, seed):
         self.site = site
         self.rng = random.Random(seed)
-        self.addresses, self.until_s = [], 0.0
-        self.answered, self.failures, self.orders = 0, [], []
+        self.addresses, self.addresses_expire_s = [], 0.0
+        self.response_count, self.failures, self.orders = 0, [], []
 
     async def run(self):
         while True:
-            await self.send_one()
+            await self.send_request()
             await trio.sleep(self.rng.uniform(0.0, 0.05))
 
-    async def send_one(self):
+    async def send_request(self):
         kind = self.rng.choice(("chat", "lookup", "order"))
         try:
             address = await self.address()
-            answer = await getattr(self, kind)(address)
+            response = await getattr(self, kind)(address)
         except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException) as error:
             self.failures.append((kind, repr(error)))
             return
-        if answer.status != 200:
-            self.failures.append((kind, answer.status, answer.body))
-        self.answered += 1
+        if response.status != 200:
+            self.failures.append((kind, response.status, response.body))
+        self.response_count += 1
 
     async def address(self):
-        if trio.current_time() >= self.until_s:
-            await self.ask()
+        if trio.current_time() >= self.addresses_expire_s:
+            await self.query_directory()
         return self.addresses[0]
 
-    async def ask(self):
-        asked_at_s = trio.current_time()
-        for known in self.addresses + [each.callers for each in self.site.entries]:
+    async def query_directory(self):
+        requested_at_s = trio.current_time()
+        for candidate in self.addresses + [entry.callers for entry in self.site.entries]:
             try:
-                answer = await sites.call("GET", f"http://{known}/toucanhold/v1/addresses")
+                response = await sites.call("GET", f"http://{candidate}/toucanhold/v1/addresses")
             except httpcore.ConnectError:
                 continue
-            if answer.status == 200:
+            if response.status == 200:
                 break
-        found = answer.json()
-        self.addresses = [each["address"] for each in found["addresses"]]
-        self.until_s = asked_at_s + found["keep_s"]
+        directory = response.json()
+        self.addresses = [item["address"] for item in directory["addresses"]]
+        self.addresses_expire_s = requested_at_s + directory["keep_s"]
 
     async def chat(self, address):
-        body = {"model": MODEL, "messages": [{"role": "user", "content": "Explain."}]}
+        body = {"model": MODEL_SERVICE, "messages": [{"role": "user", "content": "Explain."}]}
         return await sites.call("POST", f"http://{address}/v1/chat/completions", body)
 
     async def lookup(self, address):
-        return await sites.call("GET", f"http://{address}/services/{PLAIN}/records/7")
+        return await sites.call("GET", f"http://{address}/services/{PLAIN_SERVICE}/records/7")
 
     async def order(self, address):
         key = f"order-{self.rng.random()}"
         self.orders.append(key)
-        url = f"http://{address}/services/{PLAIN}/publish"
+        url = f"http://{address}/services/{PLAIN_SERVICE}/publish"
         return await sites.call("POST", url, "release", {"idempotency-key": key})
 
 
 class PlannedStopTest(unittest.TestCase):
     def test_entries_replaced_one_after_another_lose_nothing(self):
-        # Three entries are stopped and started anew in turn, while callers go on by the
-        # directory's word, and while a long stream runs on each. Each stop is asked for twice,
-        # as by an impatient operator. No request is lost, cut, refused or run twice.
-        trio.run(self._replace_all)
-
-    async def _replace_all(self):
-        site = sites.new_site(sites.log_folder(), ("zone-a",), 2, PLAIN, 1, 3)
+        # Guards against requests that are lost, cut, refused or run twice by a planned stop. Three
+        # entries are stopped and restarted in turn, while callers use the directory's addresses
+        # and a long stream runs on each. Each stop is signalled twice, as by an operator who
+        # repeats it.
+        trio.run(self._replace_entries)
+
+    async def _replace_entries(self):
+        site = sites.new_site(sites.log_folder(), ("zone-a",), 2, PLAIN_SERVICE, 1, 3)
         site.engine_options = ("--warm", "--load-s", "0.1", "--slots", "64")
         site.service_options = ("--warm", "--slots", "64")
         callers = [Caller(site, seed) for seed in range(4)]
@@ -96,21 +97,21 @@
             document = sites.document_for(site, SERVICES)
             body = {"document": document, "expected": 0}
             await site.operate("entry-0", "PUT", "document", body)
-            for each in site.entries:
-                await site.wait_status(each.entry, _all_serve)
+            for entry in site.entries:
+                await site.wait_status(entry.entry, _is_all_serving)
             async with trio.open_nursery() as nursery:
                 for caller in callers:
                     nursery.start_soon(caller.run)
-                for each in site.entries:
-                    await self._replace(site, each)
+                for entry in site.entries:
+                    await self._replace_entry(site, entry)
                 nursery.cancel_scope.cancel()
             history = await sites.call("GET", f"http://{site.vms[-1].address}/standin/history")
         self.assertEqual([], [failure for caller in callers for failure in caller.failures])
-        self.assertGreater(sum(caller.answered for caller in callers), 100)
-        ran = [order["key"] for order in history.json()["orders"]]
-        self.assertEqual(len(ran), len(set(ran)))
+        self.assertGreater(sum(caller.response_count for caller in callers), 100)
+        keys_run = [order["key"] for order in history.json()["orders"]]
+        self.assertEqual(len(keys_run), len(set(keys_run)))
 
-    async def _replace(self, site, entry):
+    async def _replace_entry(self, site, entry):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._long_stream, entry.callers)
             await trio.sleep(0.3)
@@ -118,20 +119,20 @@
             await trio.sleep(0.2)
             self.assertEqual(0, await site.group.stop(entry.entry))
         await site.start_entry(entry.entry)
-        await site.wait_status(entry.entry, _all_serve)
+        await site.wait_status(entry.entry, _is_all_serving)
 
     async def _long_stream(self, address):
         body = {
-            "model": MODEL,
+            "model": MODEL_SERVICE,
             "stream": True,
             "max_tokens": LONG_STREAM_TOKENS,
             "messages": [{"role": "user", "content": "Explain at length."}],
         }
-        answer = await sites.call("POST", f"http://{address}/v1/chat/completions", body)
-        self.assertEqual(200, answer.status, answer.body)
-        self.assertIn(b"data: [DONE]", answer.body)
-        self.assertEqual(LONG_STREAM_TOKENS, answer.body.count(b"\nid: ") + 1)
+        response = await sites.call("POST", f"http://{address}/v1/chat/completions", body)
+        self.assertEqual(200, response.status, response.body)
+        self.assertIn(b"data: [DONE]", response.body)
+        self.assertEqual(LONG_STREAM_TOKENS, response.body.count(b"\nid: ") + 1)
 
 
-def _all_serve(status):
-    return bool(status["services"]) and all(each["serving"] for each in status["services"])
+def _is_all_serving(status):
+    return bool(status["services"]) and all(service["serving"] for service in status["services"])
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Failures of real processes: killed and paused entries, an outage of the key-value service."""
+"""Killed and paused entry processes, and an outage of the key-value service."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 
 
 class ProcessesTest(unittest.TestCase):
-    def _run(self, drive):
+    def _run_with_site(self, check):
         async def run():
             site = sites.new_site(sites.log_folder(), ("zone-a", "zone-b"), 2, "releases", 1, 3)
             site.engine_options = ("--warm", "--load-s", "0.2", "--token-s", "0.02")
@@ -26,98 +26,99 @@
                 document = sites.document_for(site, demo.SERVICES)
                 document["rules"]["services"][0]["replicas"] = 2
                 body = {"document": document, "expected": 0}
-                answer = await site.operate("entry-0", "PUT", "document", body)
-                self.assertEqual(200, answer.status, answer.body)
-                for each in site.entries:
-                    await site.wait_status(each.entry, _all_serve)
-                await drive(site)
+                response = await site.operate("entry-0", "PUT", "document", body)
+                self.assertEqual(200, response.status, response.body)
+                for entry in site.entries:
+                    await site.wait_status(entry.entry, _is_all_serving)
+                await check(site)
 
         trio.run(run)
 
     def test_killed_entry_cuts_only_its_own_streams(self):
-        # The caller of a stream at the killed entry sees a broken connection, never a clean end;
-        # a caller elsewhere gets a whole answer. The entry dies by SIGKILL while it streams; a
-        # new process in its place serves, since entries keep nothing.
-        self._run(self._kill_entry)
+        # Guards against a truncated stream that ends cleanly. The entry is killed by SIGKILL while
+        # it streams; its caller must see a broken connection, and a caller at another entry a
+        # complete response. A new process serves at once, since entries store nothing.
+        self._run_with_site(self._kill_entry)
 
     async def _kill_entry(self, site: sites.Site) -> None:
-        ends: dict[str, object] = {}
+        results: dict[str, object] = {}
         async with trio.open_nursery() as nursery:
             for name in ("entry-1", "entry-2"):
-                nursery.start_soon(_stream, site, name, ends)
+                nursery.start_soon(_send_stream, site, name, results)
             await trio.sleep(1)
             await site.group.kill("entry-1")
-        self.assertIsInstance(ends["entry-1"], Exception)
-        self.assertTrue(ends["entry-2"].body.endswith(b"data: [DONE]\n\n"))
+        self.assertIsInstance(results["entry-1"], Exception)
+        self.assertTrue(results["entry-2"].body.endswith(b"data: [DONE]\n\n"))
         await site.start_entry("entry-1")
-        await site.wait_status("entry-1", _all_serve)
+        await site.wait_status("entry-1", _is_all_serving)
 
-    def test_paused_entry_learns_of_the_take_out_before_it_works(self):
-        # Callers at the resumed entry are answered, none from the zone that is out. The entry is
-        # stopped by SIGSTOP, zone-a is taken out meanwhile, and a request waits in its socket.
-        # After SIGCONT the request is there before the news; the entry asks for the news first.
-        self._run(self._pause_entry)
+    def test_paused_entry_applies_the_take_out_before_it_serves(self):
+        # Guards against work in a zone that was taken out while the entry was paused. The entry is
+        # paused by SIGSTOP, zone-a is taken out, and requests wait in its socket. After SIGCONT
+        # the requests arrive before the update, so the entry must request the update first.
+        self._run_with_site(self._pause_entry)
 
     async def _pause_entry(self, site: sites.Site) -> None:
-        answers = []
+        responses = []
 
-        async def look_up() -> None:
+        async def send_lookup() -> None:
             url = f"http://{site.entry('entry-1').callers}/{LOOKUP}"
-            answers.append(await sites.call("GET", url))
+            responses.append(await sites.call("GET", url))
 
         async with trio.open_nursery() as nursery:
             site.group.pause("entry-1")
             for _ in range(4):
-                nursery.start_soon(look_up)
+                nursery.start_soon(send_lookup)
             out = {"out": True}
-            answer = await site.operate("entry-0", "PUT", "availability-zones/zone-a", out)
-            self.assertEqual(200, answer.status, answer.body)
+            response = await site.operate("entry-0", "PUT", "availability-zones/zone-a", out)
+            self.assertEqual(200, response.status, response.body)
             await trio.sleep(6)
             site.group.resume("entry-1")
-        self.assertEqual(4, len(answers))
-        for answer in answers:
-            if answer.status == 200:
-                self.assertEqual("svc-zone-b-0", answer.json()["vm"])
+        self.assertEqual(4, len(responses))
+        for response in responses:
+            if response.status == 200:
+                self.assertEqual("svc-zone-b-0", response.json()["vm"])
             else:
-                self.assertEqual("did-not-run", answer.json()["outcome"])
+                self.assertEqual("did-not-run", response.json()["outcome"])
 
-    def test_outage_of_the_platform_stops_no_lookup_or_chat(self):
-        # Callers see answers all through, and an order is refused with the truth that it did not
-        # run. The key-value service is down for six seconds; claims cannot be made then.
-        self._run(self._outage)
+    def test_platform_outage_does_not_interrupt_lookups_or_chats(self):
+        # Guards against failed lookups and chats, and against a false refusal of an order, while
+        # the key-value service is down. Orders cannot be claimed then, so they are refused as
+        # did-not-run.
+        self._run_with_site(self._outage)
 
     async def _outage(self, site: sites.Site) -> None:
-        faults = f"http://{site.keyvalue_address}/standin/faults"
-        callers = f"http://{site.entry('entry-2').callers}"
-        await sites.call("POST", faults, {"mode": "down"})
+        faults_url = f"http://{site.keyvalue_address}/standin/faults"
+        callers_url = f"http://{site.entry('entry-2').callers}"
+        await sites.call("POST", faults_url, {"mode": "down"})
         await trio.sleep(3)
-        self.assertEqual(200, (await sites.call("GET", f"{callers}/{LOOKUP}")).status)
-        answer = await sites.call("POST", f"{callers}/v1/chat/completions", STREAM)
-        self.assertTrue(answer.body.endswith(b"data: [DONE]\n\n"), answer.body[-300:])
-        key = {"idempotency-key": "outage-1"}
-        order = f"{callers}/services/releases/publish"
-        refused = await sites.call("POST", order, {"release": 7}, key)
-        self.assertEqual("did-not-run", refused.json()["outcome"])
-        await sites.call("POST", faults, {"mode": "up"})
+        self.assertEqual(200, (await sites.call("GET", f"{callers_url}/{LOOKUP}")).status)
+        response = await sites.call("POST", f"{callers_url}/v1/chat/completions", STREAM)
+        self.assertTrue(response.body.endswith(b"data: [DONE]\n\n"), response.body[-300:])
+        headers = {"idempotency-key": "outage-1"}
+        order_url = f"{callers_url}/services/releases/publish"
+        refusal = await sites.call("POST", order_url, {"release": 7}, headers)
+        self.assertEqual("did-not-run", refusal.json()["outcome"])
+        await sites.call("POST", faults_url, {"mode": "up"})
         with trio.fail_after(20):
-            while (await sites.call("POST", order, {"release": 7}, key)).status != 200:
+            while (await sites.call("POST", order_url, {"release": 7}, headers)).status != 200:
                 await trio.sleep(0.5)
-        self.assertEqual(1, await _orders_run(site))
+        self.assertEqual(1, await _count_order_runs(site))
 
 
-def _all_serve(status: dict) -> bool:
+def _is_all_serving(status: dict) -> bool:
     services = status["services"]
-    return bool(services) and all(each["serving"] >= each["wanted"] for each in services)
+    return bool(services) and all(service["serving"] >= service["wanted"] for service in services)
 
 
-async def _stream(site: sites.Site, name: str, ends: dict) -> None:
+async def _send_stream(site: sites.Site, name: str, results: dict) -> None:
     url = f"http://{site.entry(name).callers}/v1/chat/completions"
     try:
-        ends[name] = await sites.call("POST", url, STREAM)
+        results[name] = await sites.call("POST", url, STREAM)
     except Exception as error:
-        ends[name] = error
+        results[name] = error
 
 
-async def _orders_run(site: sites.Site) -> int:
+async def _count_order_runs(site: sites.Site) -> int:
     urls = [f"http://{vm.address}/standin/history" for vm in site.vms if vm.service]
     return sum([len((await sites.call("GET", url)).json()["orders"]) for url in urls])
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Each scenario file is a test of its own; see docs/SCENARIOS.md."""
+"""Runs each scenario file as a separate test; see docs/SCENARIOS.md."""
 
 import pathlib
 import tempfile
@@ -6,24 +6,24 @@
 
 from tests.proof import language, steps
 
-FOLDER = pathlib.Path(__file__).with_name("scenarios")
+SCENARIO_FOLDER = pathlib.Path(__file__).with_name("scenarios")
 
 
 class ScenarioTest(unittest.TestCase):
     pass
 
 
-def _test_of(path: pathlib.Path):
+def _new_scenario_test(path: pathlib.Path):
     return lambda self: steps.run_file(path)
 
 
-for _path in sorted(FOLDER.glob("*.scenario")):
+for _path in sorted(SCENARIO_FOLDER.glob("*.scenario")):
     _name = "test_" + _path.stem.replace("-", "_")
-    setattr(ScenarioTest, _name, _test_of(_path))
+    setattr(ScenarioTest, _name, _new_scenario_test(_path))
 
 
 class LanguageTest(unittest.TestCase):
-    def test_each_mistake_is_told_with_file_and_line(self):
+    def test_each_error_is_reported_with_file_and_line(self):
         text = (
             "# One.\n# Two.\nsite with 3 entries, 2 availability zones\npause entri 3\n"
             "expect o1 answred\nwait 3 s\nservice drafts: 2 replicas of 2 VMs\n"
@@ -33,11 +33,11 @@
             path.write_text(text)
             with self.assertRaises(language.InvalidScenarioError) as caught:
                 language.load(path)
-        told = [str(error) for error in caught.exception.exceptions]
-        self.assertEqual(3, len(told), told)
-        self.assertIn(f"{path}:4: cannot read 'entri 3'", told[0])
-        self.assertIn(f"{path}:5: cannot read 'answred'", told[1])
-        self.assertIn(f"{path}:7: the site must be described first", told[2])
+        messages = [str(error) for error in caught.exception.exceptions]
+        self.assertEqual(3, len(messages), messages)
+        self.assertIn(f"{path}:4: cannot read 'entri 3'", messages[0])
+        self.assertIn(f"{path}:5: cannot read 'answred'", messages[1])
+        self.assertIn(f"{path}:7: the site must be described first", messages[2])
 
     def test_opening_comment_is_required(self):
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -1,4 +1,4 @@
-"""Random sequences of faults; a seed that found a fault stays here for good."""
+"""Random sequences of faults; seeds that exposed a bug are kept."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class SequenceTest(unittest.TestCase):
-    def test_promises_hold_through_random_sequences(self):
+    def test_guarantees_hold_through_random_sequences(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 verdict, _ = sequences.run(seed)
