--- a/tests/platform/standins.py
+++ b/tests/platform/standins.py
@@ -110,11 +110,11 @@
     async def _watch(self, query):
         after = int(query["after"])
         with trio.move_on_after(int(query["wait_ms"]) / 1000):
-            while not (found := self._events(query["path_prefix"], after)):
+            while not (matching_events := self._events(query["path_prefix"], after)):
                 await self.changed.wait()
         if after < self.oldest_revision:
             return 410, {}
-        return 200, {"events": found or [], "store_revision": self.revision}
+        return 200, {"events": matching_events or [], "store_revision": self.revision}
 
     def _events(self, prefix, after):
         return [
--- a/tests/platform/test_paired.py
+++ b/tests/platform/test_paired.py
@@ -38,22 +38,22 @@
 class DifferenceTest(unittest.TestCase):
     def test_only_runs_of_both_checkouts_are_compared(self):
         before, after = new_days([0.5, 0.6]), new_days([0.6])
-        found = pairing.paired_differences(before, after, lambda run_key: run_key.site)["site"]
-        self.assertEqual(1, found.pairs)
-        self.assertAlmostEqual(0.1, found.mean)
-        self.assertTrue(math.isnan(found.error))
-        self.assertFalse(found.is_significant)
+        difference = pairing.paired_differences(before, after, lambda run_key: run_key.site)["site"]
+        self.assertEqual(1, difference.pairs)
+        self.assertAlmostEqual(0.1, difference.mean)
+        self.assertTrue(math.isnan(difference.error))
+        self.assertFalse(difference.is_significant)
 
     def test_a_gain_in_each_pair_is_significant(self):
         before, after = new_days([0.4, 0.5, 0.6]), new_days([0.5, 0.61, 0.7])
-        found = pairing.paired_differences(before, after, lambda run_key: run_key.site)["site"]
-        self.assertTrue(found.is_significant)
+        difference = pairing.paired_differences(before, after, lambda run_key: run_key.site)["site"]
+        self.assertTrue(difference.is_significant)
 
     def test_a_mean_gain_from_one_outlier_is_not_significant(self):
         before, after = new_days([0.5, 0.5, 0.5]), new_days([0.5, 0.49, 0.8])
-        found = pairing.paired_differences(before, after, lambda run_key: run_key.site)["site"]
-        self.assertFalse(found.is_significant)
-        self.assertIn("luck?", pairing.table({"site": found}))
+        difference = pairing.paired_differences(before, after, lambda run_key: run_key.site)["site"]
+        self.assertFalse(difference.is_significant)
+        self.assertIn("luck?", pairing.table({"site": difference}))
 
     def test_kinds_and_seconds_are_averaged_over_seeds(self):
         days = {
@@ -66,9 +66,9 @@
 
 class ReportTest(unittest.TestCase):
     def setUp(self):
-        scratch = tempfile.TemporaryDirectory()
-        self.addCleanup(scratch.cleanup)
-        self.folder = pathlib.Path(scratch.name)
+        temporary_folder = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary_folder.cleanup)
+        self.folder = pathlib.Path(temporary_folder.name)
 
     def test_broken_rules_and_faults_are_reported(self):
         path = self.folder / "report.json"
@@ -91,9 +91,9 @@
         run_keys = [pairing.RunKey("site", "day", seed) for seed in (1, 2)]
         sites = {"site": pathlib.Path("site.toml")}
         for _ in range(2):
-            found = trio.run(
+            day_reports = trio.run(
                 bench_runs.run_all, bench, self.folder, sites, run_keys, self.folder / "reports"
             )
             (self.folder / "report.json").write_text(json.dumps(new_report(0.9)))
-        self.assertEqual([0.5, 0.5], [day.worth for day in found.values()])
-        self.assertEqual({"notes": 0.5}, found[run_keys[0]].by_kind)
+        self.assertEqual([0.5, 0.5], [day.worth for day in day_reports.values()])
+        self.assertEqual({"notes": 0.5}, day_reports[run_keys[0]].by_kind)
--- a/tests/proof/faults.py
+++ b/tests/proof/faults.py
@@ -39,7 +39,7 @@
     For entries that are not alive it stays down.
     """
     _record_fault(testbed, f"the platform is {mode}")
-    names = [name for name, server in testbed.entries.items() if server.is_alive]
+    names = [name for name, entry in testbed.entries.items() if entry.is_alive]
     testbed.platform.set_mode(mode)
     for name in set(testbed.entries) - set(names):
         testbed.platform.faults[name].mode = "down"
--- a/tests/proof/history.py
+++ b/tests/proof/history.py
@@ -241,10 +241,14 @@
 
     def events_of(self, kind: type) -> list[tuple[float, typing.Any]]:
         """Return all events of a class, each with its time in s."""
-        return [(each.time_s, each.event) for each in self.entries if isinstance(each.event, kind)]
+        return [
+            (timed_event.time_s, timed_event.event)
+            for timed_event in self.entries
+            if isinstance(timed_event.event, kind)
+        ]
 
     def lines(self) -> collections.abc.Iterator[str]:
         """Yield one line of text per event, truncated to 200 characters."""
-        for each in self.entries:
-            text = str(each.event)
-            yield f"{each.time_s:9.3f} {text if len(text) < 200 else text[:200] + '…'}"
+        for timed_event in self.entries:
+            text = str(timed_event.event)
+            yield f"{timed_event.time_s:9.3f} {text if len(text) < 200 else text[:200] + '…'}"
--- a/tests/proof/matrix.py
+++ b/tests/proof/matrix.py
@@ -160,7 +160,7 @@
                 faults.restart_vm(testbed, server.vm)
 
 
-class _Cut(Fault):
+class _PartitionFault(Fault):
     @abc.abstractmethod
     def targets(self, testbed: site.Site, participants: procedures.Participants) -> list[str]:
         """Return the names that the entry of the step is cut from."""
@@ -174,7 +174,7 @@
             faults.heal(testbed, participants.entry, target)
 
 
-class CutFromPeers(_Cut):
+class CutFromPeers(_PartitionFault):
     """The entry of the step reaches no other entry."""
 
     name = "cut-from-peers"
@@ -183,7 +183,7 @@
         return [name for name in testbed.entries if name != participants.entry]
 
 
-class CutFromPlatform(_Cut):
+class CutFromPlatform(_PartitionFault):
     """The entry of the step does not reach the platform."""
 
     name = "cut-from-platform"
@@ -192,7 +192,7 @@
         return ["platform"]
 
 
-class CutFromServer(_Cut):
+class CutFromServer(_PartitionFault):
     """The entry of the step does not reach the backend server of the step."""
 
     name = "cut-from-server"
@@ -201,7 +201,7 @@
         return [participants.vm]
 
 
-class Isolated(_Cut):
+class Isolated(_PartitionFault):
     """The entry of the step reaches neither the platform nor another entry."""
 
     name = "isolated"
@@ -270,8 +270,8 @@
         faults.lose_commit(testbed, "answers")
 
     def heal(self, testbed, participants):
-        for each in testbed.platform.faults.values():
-            each.lose_answers = 0
+        for client_faults in testbed.platform.faults.values():
+            client_faults.lose_answers = 0
 
 
 class OperatorsRacing(Fault):
@@ -342,7 +342,7 @@
     @property
     def name(self) -> str:
         """The name of the cell, for example ``order.claimed.entry-killed``."""
-        return f"{self.procedure.name}.{self.step}." + "+".join(each.name for each in self.faults)
+        return f"{self.procedure.name}.{self.step}." + "+".join(fault.name for fault in self.faults)
 
 
 @attrs.frozen
@@ -455,7 +455,7 @@
     async def _heal(
         self, injected_faults: list[Fault], participants: procedures.Participants
     ) -> None:
-        for fault in sorted(injected_faults, key=lambda each: each.heal_after_s):
+        for fault in sorted(injected_faults, key=lambda pending: pending.heal_after_s):
             await trio.sleep(fault.heal_after_s)
             fault.heal(self.testbed, participants)
         self.record_note("all is healed")
@@ -523,16 +523,16 @@
     :param name: name of the verdict
     :param cell: the cell, or None for a run without one
     """
-    runs: list[Run] = []
+    started_runs: list[Run] = []
 
     async def drive(testbed: site.Site) -> None:
-        runs.append(kind(cell, testbed, random.Random(seed)))
-        await runs[0].drive()
+        started_runs.append(kind(cell, testbed, random.Random(seed)))
+        await started_runs[0].drive()
 
     testbed = None
     try:
         testbed = site.run(layout, drive)
-        problems = runs[0].problems
+        problems = started_runs[0].problems
     except Exception as error:
         problems = [f"the bench failed: {error!r} {getattr(error, 'exceptions', '')}"]
-    return Verdict(name, bool(runs) and runs[0].reached, tuple(problems)), testbed
+    return Verdict(name, bool(started_runs) and started_runs[0].reached, tuple(problems)), testbed
--- a/tests/proof/procedures.py
+++ b/tests/proof/procedures.py
@@ -287,11 +287,11 @@
         # serve everything without it, and an operator would try again.
         for _ in range(RETRY_ATTEMPTS):
             returns = (
-                each
-                for _, each in testbed.history.events_of(history.ChangeCompleted)
-                if not each.out
+                change
+                for _, change in testbed.history.events_of(history.ChangeCompleted)
+                if not change.out
             )
-            if any(each.zone == "a" and each.status == 200 for each in returns):
+            if any(change.zone == "a" and change.status == 200 for change in returns):
                 return
             await testbed.set_zone("entry-2", "a", False)
             await trio.sleep(1)
--- a/tests/proof/promises.py
+++ b/tests/proof/promises.py
@@ -55,7 +55,7 @@
             if key.startswith(PLAN_PREFIX):
                 plans[key] = json.loads(value)["groups"] if value else []
                 members = [
-                    vm for groups in plans.values() for each in groups for vm in each["members"]
+                    vm for groups in plans.values() for group in groups for vm in group["members"]
                 ]
                 duplicates = [vm for vm, count in collections.Counter(members).items() if count > 1]
                 if duplicates:
@@ -155,7 +155,9 @@
     """A request that may not be repeated runs at most once."""
     sent = run_record.history.events_of(history.RequestSent)
     unkeyed = collections.Counter(
-        json.dumps(each.content) for _, each in sent if each.kind == "order" and not each.key
+        json.dumps(request.content)
+        for _, request in sent
+        if request.kind == "order" and not request.key
     )
     run_counts: collections.Counter[str] = collections.Counter()
     for time_s, run in run_record.history.events_of(history.RunStarted):
@@ -304,7 +306,8 @@
 def final_answers(run_record: RunRecord) -> Violations:
     """Each request has one final answer."""
     answered = collections.Counter(
-        each.request.name for _, each in run_record.history.events_of(history.ResponseReceived)
+        response.request.name
+        for _, response in run_record.history.events_of(history.ResponseReceived)
     )
     for time_s, sent in run_record.history.events_of(history.RequestSent):
         if answered[sent.name] != 1:
--- a/tests/proof/servers.py
+++ b/tests/proof/servers.py
@@ -154,11 +154,14 @@
             return 0
         members = [self.server.site.server_at(address) for address in membership.members]
         now_s, disturbed_at_s = trio.current_time(), self.server.site.disturbed_at_s
-        for each in members:
+        for member in members:
             is_undisturbed = (
-                now_s - disturbed_at_s.get(each.vm, -DISTURBANCE_WINDOW_S) >= DISTURBANCE_WINDOW_S
+                now_s - disturbed_at_s.get(member.vm, -DISTURBANCE_WINDOW_S) >= DISTURBANCE_WINDOW_S
             )
-            if each.membership() != (membership.group, membership.generation) or not is_undisturbed:
+            if (
+                member.membership() != (membership.group, membership.generation)
+                or not is_undisturbed
+            ):
                 return 0
         return len(members[0].app.engine.run_scopes)
 
@@ -367,5 +370,5 @@
     if not body.endswith(b"data: [DONE]\n\n"):
         return None
     payloads = [line[6:] for line in body.split(b"\n") if line.startswith(b"data: {")]
-    deltas = [json.loads(data)["choices"][0]["delta"] for data in payloads]
+    deltas = [json.loads(payload)["choices"][0]["delta"] for payload in payloads]
     return [delta["content"].strip() for delta in deltas if "content" in delta]
--- a/tests/proof/site.py
+++ b/tests/proof/site.py
@@ -167,7 +167,7 @@
 
         :raises StopIteration: if there is none
         """
-        return next(each for each in self.servers.values() if each.address == address)
+        return next(server for server in self.servers.values() if server.address == address)
 
     def zone_of(self, vm: str) -> str:
         """Return a VM's availability zone."""
@@ -181,16 +181,16 @@
         """Return inventory and rules in the operators' JSON format."""
         vms_of_site = [
             {
-                "vm": each.vm,
-                "address": each.address,
-                "availability_zone": each.availability_zone,
-                "fabric_domain": each.fabric_domain,
-                "accelerators": 0 if each.service else 1,
-                "kind": "service" if each.service else "engine",
-                "service": each.service,
-                "fencing": each.fencing,
+                "vm": server.vm,
+                "address": server.address,
+                "availability_zone": server.availability_zone,
+                "fabric_domain": server.fabric_domain,
+                "accelerators": 0 if server.service else 1,
+                "kind": "service" if server.service else "engine",
+                "service": server.service,
+                "fencing": server.fencing,
             }
-            for each in self.servers.values()
+            for server in self.servers.values()
         ]
         model_service = {"name": self.layout.model_service, "model": MODEL, "version": "1"}
         model_service |= {
@@ -223,7 +223,9 @@
             platform_url="http://memory",
             operator_token=keyring.from_text(TOKEN),
             peer_key=keyring.from_text("bench-peer-key-0000"),
-            peers=tuple(f"10.1.0.{each[6:]}:7002" for each in self.entry_names() if each != name),
+            peers=tuple(
+                f"10.1.0.{other[6:]}:7002" for other in self.entry_names() if other != name
+            ),
             directory_keep_s=0.5,
             seed=self.layout.seed,
         )
@@ -453,7 +455,7 @@
         for entry_process in self.entries.values():
             if entry_process.is_alive:
                 status = entry_process.app.status_composer.compose()
-                serving = {each.service: each.serving for each in status.services}
+                serving = {service.service: service.serving for service in status.services}
                 if serving.get(self.layout.model_service, 0) < self.layout.replicas:
                     return False
                 if self.layout.plain_service and not serving.get(self.layout.plain_service):
--- a/tests/proof/steps.py
+++ b/tests/proof/steps.py
@@ -227,9 +227,9 @@
         return await self._command(name, entry, self.site.set_zone, str(zone), False)
 
     async def do_new_version(self, version, service, entry, name) -> str | None:
-        for each in self.document["rules"]["services"]:
-            if each["name"] == service:
-                each["version"] = str(version)
+        for service_rules in self.document["rules"]["services"]:
+            if service_rules["name"] == service:
+                service_rules["version"] = str(version)
         entry_name = self._entry_or_first(entry)
         number = self.site.entries[entry_name].app.configuration.current.number
         return await self._command(name, entry, self.site.apply, self.document, number)
@@ -469,7 +469,7 @@
     layout = site.SiteLayout()
     ignoring = []
     for step in scenario.steps:
-        words = [None if each is None else str(each) for each in step.tree.children]
+        words = [None if child is None else str(child) for child in step.tree.children]
         if step.tree.data == "site":
             layout.entries, layout.zones = int(words[0]), tuple("abcdefgh"[: int(words[1])])
             layout.engines = int(words[2] or layout.engines)
--- a/tests/test_poisoned_records.py
+++ b/tests/test_poisoned_records.py
@@ -35,9 +35,9 @@
             body = {"document": sites.document_for(site, demo.SERVICES), "expected": 0}
             await site.operate("entry-0", "PUT", "document", body)
             for entry in site.entries:
-                await site.wait_status(entry.entry, lambda seen: seen["services"] != [])
+                await site.wait_status(entry.entry, lambda current: current["services"] != [])
                 await site.wait_status(
-                    entry.entry, lambda seen: seen["services"][0]["serving"] == 2
+                    entry.entry, lambda current: current["services"][0]["serving"] == 2
                 )
             for value in INVALID_VALUES:
                 for key in KEYS:
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -23,9 +23,9 @@
             body = {"document": document, "expected": 0}
             response = await site.operate("entry-1", "PUT", "document", body)
             self.assertEqual(200, response.status, response.body)
-            await site.wait_status("entry-0", lambda seen: _serving_count(seen, SERVICE) == 2)
-            seen = await site.operate("entry-0", "GET", "preview?without=zone-a")
-            self.assertTrue(seen.json()["falls_short"], seen.body)
+            await site.wait_status("entry-0", lambda status: _serving_count(status, SERVICE) == 2)
+            preview = await site.operate("entry-0", "GET", "preview?without=zone-a")
+            self.assertTrue(preview.json()["falls_short"], preview.body)
             response = await self._send_chat(site.entries[0].callers)
             self.assertEqual(200, response.status, response.body)
             self.assertTrue(response.body.endswith(b"data: [DONE]\n\n"), response.body)
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -118,7 +118,7 @@
     for entry in site.entries:
         await site.wait_status(
             entry.entry,
-            lambda seen: _all_serving(seen) and group not in seen["groups"],
+            lambda current: _all_serving(current) and group not in current["groups"],
         )
     _print_step("another group has taken its place")
     await _send_chat(address)
--- a/tools/measure/__main__.py
+++ b/tools/measure/__main__.py
@@ -30,29 +30,29 @@
 
     def handle(self) -> int:
         """Run each measurement in turn; return 2 for an unknown name, else 0."""
-        known = available()
-        names = self.argument("names") or known
-        if unknown := sorted(set(names) - set(known)):
-            self.line_error(f"unknown: {', '.join(unknown)}; known: {', '.join(known)}")
+        available_names = available()
+        names = self.argument("names") or available_names
+        if unknown := sorted(set(names) - set(available_names)):
+            self.line_error(f"unknown: {', '.join(unknown)}; known: {', '.join(available_names)}")
             return 2
         for name in names:
             module = importlib.import_module(f"tools.measure.{name}")
-            for each in module.run(int(self.option("seed"))):
-                print(table.to_markdown(each), flush=True)
-                self._draw(each)
+            for measured_table in module.run(int(self.option("seed"))):
+                print(table.to_markdown(measured_table), flush=True)
+                self._draw(measured_table)
         return 0
 
-    def _draw(self, each: table.Table) -> None:
+    def _draw(self, measured_table: table.Table) -> None:
         if self.option("plots"):
-            path = table.draw(each, pathlib.Path(self.option("plots")))
+            path = table.draw(measured_table, pathlib.Path(self.option("plots")))
             if path is not None:
                 print(f"plot: {path}\n", flush=True)
 
 
 def available() -> list[str]:
     """Return the names of all measurements."""
-    found = (module.name for module in pkgutil.iter_modules(tools.measure.__path__))
-    return sorted(name for name in found if name not in NOT_MEASUREMENTS)
+    module_names = (module.name for module in pkgutil.iter_modules(tools.measure.__path__))
+    return sorted(name for name in module_names if name not in NOT_MEASUREMENTS)
 
 
 if __name__ == "__main__":
--- a/tools/measure/orders.py
+++ b/tools/measure/orders.py
@@ -90,14 +90,14 @@
     site: _Site, claim_method: str, per_s: float, for_s: float, rng: random.Random
 ):
     """Send orders at exponential intervals; return outcome and duration in s of each order."""
-    ends: list[tuple[str, float]] = []
+    order_results: list[tuple[str, float]] = []
 
     async def send(number: int) -> None:
         entry = rng.choice(site.entries)
         request = orders.new_request(_key(site, entry, claim_method, number), timeout_s=30)
         started_s = trio.current_time()
         status, outcome, _ = await entry.order(request)
-        ends.append((outcome if status != 200 else "ran", trio.current_time() - started_s))
+        order_results.append((outcome if status != 200 else "ran", trio.current_time() - started_s))
 
     until_s = trio.current_time() + for_s
     async with trio.open_nursery() as nursery:
@@ -106,7 +106,7 @@
             nursery.start_soon(send, number)
             number += 1
             await trio.sleep(rng.expovariate(per_s))
-    return ends
+    return order_results
 
 
 def _rates_table(seed: int) -> table.Table:
@@ -127,11 +127,13 @@
 
 async def _rate(claim_method: str, per_s: float, seed: int) -> tuple:
     async def body(site: _Site) -> tuple:
-        ends = await _generate_orders(site, claim_method, per_s, RATE_RUN_S, random.Random(seed))
+        order_results = await _generate_orders(
+            site, claim_method, per_s, RATE_RUN_S, random.Random(seed)
+        )
         elapsed_s = trio.current_time()
         await trio.sleep(30)
-        outcomes = collections.Counter(outcome for outcome, _ in ends)
-        times_ms = sorted(1000 * seconds for outcome, seconds in ends if outcome == "ran")
+        outcomes = collections.Counter(outcome for outcome, _ in order_results)
+        times_ms = sorted(1000 * seconds for outcome, seconds in order_results if outcome == "ran")
         calls = site.store.calls.total() / max(1, outcomes["ran"])
         p99_ms = times_ms[int(len(times_ms) * 0.99)] if times_ms else 0.0
         median_ms = statistics.median(times_ms) if times_ms else 0.0
@@ -159,13 +161,15 @@
     async def body(site: _Site) -> tuple:
         site.store.down = True
         rng = random.Random(seed)
-        ends = await _generate_orders(site, claim_method, OUTAGE_ORDERS_PER_S, OUTAGE_S, rng)
-        count = collections.Counter(outcome for outcome, _ in ends)
+        order_results = await _generate_orders(
+            site, claim_method, OUTAGE_ORDERS_PER_S, OUTAGE_S, rng
+        )
+        count = collections.Counter(outcome for outcome, _ in order_results)
         repeat_count = len(site.sender.runs) - len(set(site.sender.runs))
         calls = site.store.calls.total()
         return (
             claim_method,
-            len(ends),
+            len(order_results),
             count["ran"],
             count["did-not-run"],
             count["unknown"],
@@ -208,8 +212,8 @@
     total: collections.Counter[str] = collections.Counter()
     for claim_method in (COMBINED, ISSUED):
         for number in range(FAULT_RUNS):
-            found = _on_test_clock(_fault_run, claim_method, seed * 1000 + number)
-            total.update({(claim_method, name): count for name, count in found.items()})
+            counts = _on_test_clock(_fault_run, claim_method, seed * 1000 + number)
+            total.update({(claim_method, name): count for name, count in counts.items()})
     names = ("orders", "sendings", "ran", "doubled", "false_did_not_run", "lost", "end_unknown")
     rows = [
         (claim_method, *(total[claim_method, name] for name in names))
@@ -273,7 +277,7 @@
     """Sends each order several times and compares the reported outcomes with the actual runs.
 
     :ivar ids: request ids by order key, and the ids of refused requests under ``refused``
-    :ivar ends: last outcome by order key
+    :ivar final_outcomes: last outcome by order key
     :ivar false: did-not-run refusals of requests that had run
     """
 
@@ -281,29 +285,33 @@
     claim_method: str
     rng: random.Random
     ids: dict[str, set[str]] = attrs.field(factory=lambda: collections.defaultdict(set))
-    ends: dict[str, str] = attrs.field(factory=dict)
+    final_outcomes: dict[str, str] = attrs.field(factory=dict)
     false: int = 0
 
     async def order(self, number: int) -> None:
         await trio.sleep(self.rng.uniform(0, FAULT_RUN_S))
-        issuer = self.rng.choice(self.site.entries)
-        key = issuer.issue() if self.claim_method == ISSUED else f"order-{number}"
+        issuing_entry = self.rng.choice(self.site.entries)
+        key = issuing_entry.issue() if self.claim_method == ISSUED else f"order-{number}"
         for _ in range(self.rng.randrange(1, 4)):
             async with trio.open_nursery() as nursery:
                 for _ in range(self.rng.randrange(1, 4)):
-                    nursery.start_soon(self.send, key, issuer)
+                    nursery.start_soon(self.send, key, issuing_entry)
             await trio.sleep(self.rng.expovariate(0.3))
         await trio.sleep_until(FAULT_RUN_S + RECOVERY_S)
         for _ in range(10):
-            self.ends[key] = await self.send(key, issuer)
-            if self.ends[key] in ("ran", "unknown"):
+            self.final_outcomes[key] = await self.send(key, issuing_entry)
+            if self.final_outcomes[key] in ("ran", "unknown"):
                 break
             await trio.sleep(15)
 
-    async def send(self, key: str, issuer: orders.FakeEntry) -> str:
+    async def send(self, key: str, issuing_entry: orders.FakeEntry) -> str:
         entry = self.rng.choice(self.site.entries)
-        if self.claim_method == ISSUED and issuer in self.site.entries and self.rng.random() < 0.7:
-            entry = issuer
+        if (
+            self.claim_method == ISSUED
+            and issuing_entry in self.site.entries
+            and self.rng.random() < 0.7
+        ):
+            entry = issuing_entry
         request = orders.new_request(key)
         self.ids[key].add(request.request_id)
         status, outcome, _ = await entry.order(request)
@@ -323,8 +331,12 @@
             ran=sum(1 for count in runs_of.values() if count),
             doubled=sum(1 for count in runs_of.values() if count > 1),
             false_did_not_run=len(refused & ran),
-            lost=sum(1 for key, end in self.ends.items() if not runs_of[key] and end != "unknown"),
-            end_unknown=sum(1 for end in self.ends.values() if end == "unknown"),
+            lost=sum(
+                1
+                for key, end in self.final_outcomes.items()
+                if not runs_of[key] and end != "unknown"
+            ),
+            end_unknown=sum(1 for end in self.final_outcomes.values() if end == "unknown"),
         )
 
 
--- a/tools/measure/placement.py
+++ b/tools/measure/placement.py
@@ -53,8 +53,10 @@
         for index in range(10)
     ]
     configuration = planners.new_configuration(vms, services)
-    seen = {vm.vm: client.Report(vm.vm, "1") for vm in vms}
-    placement_input = placement.PlacementInput(configuration, {}, frozenset(seen), reports=seen)
+    reports_by_vm = {vm.vm: client.Report(vm.vm, "1") for vm in vms}
+    placement_input = placement.PlacementInput(
+        configuration, {}, frozenset(reports_by_vm), reports=reports_by_vm
+    )
     first_s, placement_result = _timed(policy, placement_input)
     peak_kb = _peak_kb(policy, placement_input)
     plans = {each.domain: each for each in placement_result.changed}
@@ -83,13 +85,13 @@
 
 def _input_build_s(configuration, placement_result: placement.Placement) -> float:
     async def build_input() -> float:
-        plans, seen = plan.PlanHolder(), view.View()
+        plans, fleet_view = plan.PlanHolder(), view.View()
         for revision, each in enumerate(placement_result.changed, 1):
             plans.apply(plan.VersionedDomainPlan(each, revision))
         for vm in configuration.inventory.vms:
-            seen.record_report(vm.vm, client.Report(vm.vm, "1"), trio.current_time())
+            fleet_view.record_report(vm.vm, client.Report(vm.vm, "1"), trio.current_time())
         input_builder = input_building.PlacementInputBuilder(
-            holder.ConfigurationHolder(configuration), plans, seen
+            holder.ConfigurationHolder(configuration), plans, fleet_view
         )
         started_s = time.perf_counter()
         input_builder.build(1)
--- a/tools/measure/planning.py
+++ b/tools/measure/planning.py
@@ -93,12 +93,12 @@
             )
             nursery.start_soon(node.run)
             await trio.sleep(WARM_UP_S)
-            counts_before = self._joins(engines), store.loads
+            counts_before = self._count_join_orders(engines), store.loads
             nursery.start_soon(self._fail_vms, list(engines.engines.values()))
             nursery.start_soon(self._take_zone_out, node)
             nursery.start_soon(self._power_off_domain, list(engines.engines.values()))
             await self._sample(node, list(engines.engines.values()), DURATION_S)
-            self.tally.joins = self._joins(engines) - counts_before[0]
+            self.tally.joins = self._count_join_orders(engines) - counts_before[0]
             self.tally.loads = store.loads - counts_before[1]
             nursery.cancel_scope.cancel()
         return self.tally
@@ -140,15 +140,15 @@
                 await trio.sleep(self.rng.expovariate(1 / FAILURE_INTERVAL_S))
                 healthy = [engine for engine in engines if engine.mode is fleet.Mode.UP]
                 self.tally.failures += 1
-                nursery.start_soon(self._fail, self.rng.choice(healthy))
+                nursery.start_soon(self._fail_vm, self.rng.choice(healthy))
 
-    async def _fail(self, engine: fleet.MemoryEngine) -> None:
-        kind = self.rng.random()
-        if kind < 0.5:
+    async def _fail_vm(self, engine: fleet.MemoryEngine) -> None:
+        failure_draw = self.rng.random()
+        if failure_draw < 0.5:
             engine.mode = fleet.Mode.REFUSING
             await trio.sleep(self.rng.uniform(10, 60))
             engine.restart()
-        elif kind < 0.75:
+        elif failure_draw < 0.75:
             engine.mode = fleet.Mode.SILENT
             await trio.sleep(self.rng.uniform(0.5, 12))
             engine.mode = fleet.Mode.UP
@@ -174,7 +174,7 @@
         for engine in powered_off:
             engine.restart()
 
-    def _joins(self, engines: fleet.MemoryFleet) -> int:
+    def _count_join_orders(self, engines: fleet.MemoryFleet) -> int:
         return sum(
             isinstance(order, client.JoinOrder)
             for engine in engines.engines.values()
--- a/tools/measure/routing_cost.py
+++ b/tools/measure/routing_cost.py
@@ -49,7 +49,7 @@
     async with sites.running(site):
         body = {"document": sites.document_for(site, [SERVICE, PLAIN]), "expected": 0}
         await site.operate("entry-0", "PUT", "document", body)
-        await site.wait_status("entry-0", lambda seen: _serving(seen) >= ENGINES)
+        await site.wait_status("entry-0", lambda status: _serving(status) >= ENGINES)
         pid = site.group.pid("entry-0")
         idle_cpu_share = await _idle_cpu_share(pid)
         rows = [
--- a/tools/measure/state.py
+++ b/tools/measure/state.py
@@ -76,12 +76,14 @@
     if response.status not in (200, 202):
         raise RuntimeError(f"{path}: {response.body!r}")
     await trio.sleep(0.3)
-    found = []
+    delays_ms = []
     for each in site.entries:
         lines = site.group.log_text(each.entry)[log_lengths[each.entry] :].splitlines()
         times_s = [_time_s(line) for line in map(json.loads, lines) if line.get("event") == event]
-        found.append((min(times_s) - sent_s) * 1000 if not out else (times_s[0] - sent_s) * 1000)
-    return found
+        delays_ms.append(
+            (min(times_s) - sent_s) * 1000 if not out else (times_s[0] - sent_s) * 1000
+        )
+    return delays_ms
 
 
 def _time_s(line: dict) -> float:
