--- a/standins/routers.py
+++ b/standins/routers.py
@@ -86,7 +86,7 @@
             view=seen,
             platform=self.platform.client(name),
             backends=clients,
-            entries=lambda: sorted(self.entries),
+            serving_entries=lambda: sorted(self.entries),
             rng=rng,
         )
         entry = Entry(name, self.build(around), seen, clients)
--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -223,7 +223,7 @@
                 view=self.view,
                 platform=self.platform,
                 backends=self.backends,
-                entries=self._serving_entries,
+                serving_entries=self._serving_entries,
                 may_start=self.permit.may_start,
                 rng=self.rng,
                 max_in_flight=self.settings.max_requests_in_flight,
--- a/toucanhold/orders/building.py
+++ b/toucanhold/orders/building.py
@@ -24,7 +24,7 @@
 
 
 def new_order_handler(
-    entries: roster.Roster,
+    entry_roster: roster.Roster,
     serve: running.ServeRequest,
     platform: keyvalue.KeyValueClient,
     peer_keys: keyring.KeyRing,
@@ -33,7 +33,7 @@
 ) -> handling.OrderHandler:
     """Return an order handler that stays within this entry's share of the call rate.
 
-    :param entries: all entries; the rate and the number of claims are divided by their count
+    :param entry_roster: all entries; the rate and the number of claims are divided by their count
     :param serve: sends a request to one backend server
     :param peer_keys: secrets shared by the entries; order keys are signed with them
     :param wall_clock: returns POSIX time in seconds
@@ -41,10 +41,10 @@
     """
 
     def rate_per_s() -> float:
-        return calls_per_s / len(entries.members())
+        return calls_per_s / len(entry_roster.members())
 
     def max_claims() -> int:
-        return leases.MAX_STORED_CLAIMS // len(entries.members())
+        return leases.MAX_STORED_CLAIMS // len(entry_roster.members())
 
     bucket = limits.TokenBucket(rate_per_s, max(1.0, BURST_S * rate_per_s()))
     store = claims.ClaimStore(
@@ -53,8 +53,8 @@
         leases.ClaimLeases(platform, max_claims=max_claims),
     )
     runner = running.OrderRunner(serve)
-    own = entries.own
+    own = entry_roster.own
     claimed_executor = claimed.ClaimedOrderExecutor(own.entry, own.boot, runner, store, wall_clock)
     signer = keys.KeySigner(peer_keys)
-    issued_executor = issued.IssuedKeyExecutor(entries, runner, store, signer, wall_clock)
+    issued_executor = issued.IssuedKeyExecutor(entry_roster, runner, store, signer, wall_clock)
     return handling.OrderHandler(runner, claimed_executor, issued_executor)
--- a/toucanhold/routing/router.py
+++ b/toucanhold/routing/router.py
@@ -37,7 +37,7 @@
 
     :ivar entry: this entry's name
     :ivar availability_zone: this entry's zone
-    :ivar entries: returns the names of all serving entries
+    :ivar serving_entries: returns the names of all serving entries
     :ivar max_in_flight: largest number of requests that this entry has in flight
     :ivar may_start: returns whether this entry's configuration is recent enough for new work
     """
@@ -49,7 +49,7 @@
     view: view.View
     platform: keyvalue.KeyValueClient
     backends: client.BackendClient
-    entries: collections.abc.Callable[[], collections.abc.Sequence[str]]
+    serving_entries: collections.abc.Callable[[], collections.abc.Sequence[str]]
     rng: random.Random
     max_in_flight: int = 2000
     may_start: collections.abc.Callable[[], bool] = lambda: True
@@ -93,7 +93,7 @@
     finder = _finder(dependencies)
     shares = cold.SlotShares(leased, dependencies.view)
     capacity_policy = capacity.EstimatedCapacity(
-        in_flight, shares, dependencies.view, lambda: len(dependencies.entries())
+        in_flight, shares, dependencies.view, lambda: len(dependencies.serving_entries())
     )
     isolations = isolation.Isolations(dependencies.exchange)
     usable = isolation.IsolatingCapacity(capacity_policy, isolations)
@@ -154,7 +154,7 @@
 
 def _leased_slots(dependencies: RouterDependencies) -> slots.LeasedSlots:
     return slots.LeasedSlots(
-        dependencies.platform, dependencies.entry, dependencies.entries, dependencies.rng
+        dependencies.platform, dependencies.entry, dependencies.serving_entries, dependencies.rng
     )
 
 
--- a/toucanhold/routing/slots.py
+++ b/toucanhold/routing/slots.py
@@ -41,12 +41,12 @@
 class LeasedSlots(SlotOwnership):
     """Owns an equal share of the slots, as keys on one lease of the key-value service.
 
-    :ivar entries: returns the names of all serving entries
+    :ivar serving_entries: returns the names of all serving entries
     """
 
     client: keyvalue.KeyValueClient
     entry: str
-    entries: collections.abc.Callable[[], collections.abc.Sequence[str]]
+    serving_entries: collections.abc.Callable[[], collections.abc.Sequence[str]]
     rng: random.Random
     _lease: int = attrs.field(default=0, init=False)
     _valid_until_s: float = attrs.field(default=-math.inf, init=False)
@@ -106,7 +106,7 @@
         owners = {slot: item.lease for item in result.items for slot in _parse_slot(item.key)}
         owned = {slot for slot, lease in owners.items() if lease == self._lease}
         self._update_ownership(owned)
-        entries = sorted({*self.entries(), self.entry})
+        entries = sorted({*self.serving_entries(), self.entry})
         quota = math.ceil(SLOT_COUNT / len(entries))
         if self._releasing:
             return await self._release_slots(sorted(self._releasing))
