--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -209,7 +209,7 @@
             with trio.move_on_after(0.2):
                 await scene.ask(gateways.new_call("/streams/1"))
             self.assertEqual(0, sum(scene.desk.working.values()))
-            self.assertEqual(0, sum(scene.loads.own.values()))
+            self.assertEqual(0, sum(scene.loads.own_counts.values()))
             self.assertEqual(0, scene.gateway.in_flight)
 
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -62,7 +62,7 @@
         tracker.remove("s1")
         tracker.remove("s1")
         tracker.add("s1")
-        self.assertEqual(1, tracker.own["s1"])
+        self.assertEqual(1, tracker.own_counts["s1"])
 
     @clocked.on_test_clock
     async def test_an_estimate_costs_the_same_among_hundreds_of_entries(self):
--- a/toucanhold/gateway/admission.py
+++ b/toucanhold/gateway/admission.py
@@ -33,14 +33,14 @@
 
     :ivar latest_start_s: trio clock time after which the response misses its objective
     :ivar excluded: IDs of servers to use only if there are no others
-    :ivar placed: set when ``server`` has been assigned
+    :ivar assigned: set when ``server`` has been assigned
     """
 
     service: table.Service
     model: str
     latest_start_s: float
     excluded: collections.abc.Set[str]
-    placed: trio.Event = attrs.field(factory=trio.Event)
+    assigned: trio.Event = attrs.field(factory=trio.Event)
     server: servers.Server | None = None
 
 
@@ -131,7 +131,7 @@
                 self._queue.append(item)
                 continue
             waiter.server = server
-            waiter.placed.set()
+            waiter.assigned.set()
 
     def _try_place_immediately(
         self, service: table.Service, model: str, excluded: collections.abc.Set[str]
@@ -171,7 +171,7 @@
         self._queue.append(item)
         try:
             with trio.move_on_after(max_wait_s):
-                await waiter.placed.wait()
+                await waiter.assigned.wait()
         except trio.Cancelled:
             if waiter.server is not None:
                 self.targets.loads.remove(waiter.server.server_id)
--- a/toucanhold/gateway/attempt.py
+++ b/toucanhold/gateway/attempt.py
@@ -33,7 +33,7 @@
     :ivar deadline_s: trio clock time at which the caller's or the route's timeout expires
     :ivar reply: receives the response
     :ivar server_id: server of the current or last attempt
-    :ivar runs: number of attempts in which a server may have started to run the call
+    :ivar attempt_count: number of attempts in which a server may have started to run the call
     :ivar extra_attempts: attempts allowed beyond the route's limit, at most one; granted to a
         started stream if a server failed before it sent any event of it
     :ivar has_response_started: whether the start of a response was sent to the caller
@@ -47,7 +47,7 @@
     deadline_s: float
     reply: calls.Reply
     server_id: str = ""
-    runs: int = 0
+    attempt_count: int = 0
     extra_attempts: int = 0
     has_response_started: bool = False
     last_event_id: int | None = attrs.field(init=False)
@@ -86,13 +86,13 @@
     def record_attempt(self, server_id: str) -> None:
         """Record that the call is sent to a server."""
         self.server_id = server_id
-        self.runs += 1
+        self.attempt_count += 1
         self._event_id_before_attempt = self.last_event_id
 
     @property
     def may_have_run(self) -> bool:
         """Whether a server may have started to run the call."""
-        return self.runs > 0
+        return self.attempt_count > 0
 
     @property
     def workspace_name(self) -> str:
@@ -133,7 +133,7 @@
         async with client.exchange(server, forwarded) as response:
             return await _forward_buffered(state, response, server_health, may_fail_over)
     except calls.NotRunError:
-        state.runs -= 1
+        state.attempt_count -= 1
         raise
 
 
@@ -256,5 +256,5 @@
         epoch=membership.epoch if membership is not None else None,
         waited_s=round(trio.current_time() - state.call.arrived_s, 3),
         remaining_s=round(forwarded.remaining_s, 3),
-        attempt=state.runs + 1,
+        attempt=state.attempt_count + 1,
     )
--- a/toucanhold/gateway/gateway.py
+++ b/toucanhold/gateway/gateway.py
@@ -175,7 +175,7 @@
 
     def _may_fail_over(self, state: attempt.CallState, excluded: set[str]) -> bool:
         if (
-            state.runs >= state.route.attempts + state.extra_attempts
+            state.attempt_count >= state.route.attempts + state.extra_attempts
             or not self.retries.has_remaining(state.service.name)
         ):
             return False
@@ -207,7 +207,7 @@
             request_id=state.call.call_id,
             server=state.server_id,
             failure=str(error),
-            runs=state.runs,
+            runs=state.attempt_count,
             after_event=state.last_event_id,
             reason=reason or None,
         )
@@ -219,7 +219,7 @@
         if isinstance(error, calls.ResponseLostError):
             if not state.route.may_repeat:
                 return "it may have run, and may run only once"
-            if state.runs >= state.route.attempts + state.extra_attempts:
+            if state.attempt_count >= state.route.attempts + state.extra_attempts:
                 return "it has been sent to as many servers as its route allows"
         if state.deadline_s - trio.current_time() < MIN_REMAINING_S:
             return "its time is over"
--- a/toucanhold/gateway/load.py
+++ b/toucanhold/gateway/load.py
@@ -28,21 +28,21 @@
 
     The cost of an estimate therefore does not depend on the number of entries.
 
-    :ivar own: this entry's requests in flight
+    :ivar own_counts: this entry's requests in flight
     """
 
-    own: collections.Counter[str] = attrs.field(factory=collections.Counter, init=False)
+    own_counts: collections.Counter[str] = attrs.field(factory=collections.Counter, init=False)
     _sources: dict[str, _SourceCounts] = attrs.field(factory=dict, init=False)
     _other_counts: collections.Counter[str] = attrs.field(factory=collections.Counter, init=False)
     _next_expiry_s: float = attrs.field(default=math.inf, init=False)
 
     def add(self, server_id: str) -> None:
         """Count a request of this entry that is sent to a server."""
-        self.own[server_id] += 1
+        self.own_counts[server_id] += 1
 
     def remove(self, server_id: str) -> None:
         """Stop counting a request of this entry; surplus calls have no effect."""
-        _subtract(self.own, {server_id: 1})
+        _subtract(self.own_counts, {server_id: 1})
 
     def update_source(
         self, source: str, counts: Counts, valid_s: float, is_local: bool = False
@@ -69,12 +69,12 @@
     def estimate(self, server_id: str) -> int:
         """Return the number of requests that all entries have in flight at a server."""
         self._expire()
-        return self.own.get(server_id, 0) + self._other_counts.get(server_id, 0)
+        return self.own_counts.get(server_id, 0) + self._other_counts.get(server_id, 0)
 
     def local_counts(self) -> dict[str, int]:
         """Return the requests in flight of this entry and its local sources, by server ID."""
         self._expire()
-        total = collections.Counter(self.own)
+        total = collections.Counter(self.own_counts)
         for source in self._sources.values():
             if source.is_local:
                 total.update(source.counts)
@@ -83,7 +83,7 @@
     def counts_without(self, source: str) -> dict[str, int]:
         """Return the requests in flight of all entries except one source, by server ID."""
         self._expire()
-        total = self._other_counts + self.own
+        total = self._other_counts + self.own_counts
         if source in self._sources:
             _subtract(total, self._sources[source].counts)
         return dict(total)
