--- a/tests/replica_cluster.py
+++ b/tests/replica_cluster.py
@@ -25,12 +25,12 @@
     def __attrs_post_init__(self):
         rng = random.Random(self.name)
         self.client = self.platform.mirrored(self.name)
-        self.mirror = mirror.Mirror()
-        self.watch = watching.ServiceWatch(self.client, self.mirror, lambda: 0.02, rng)
-        self.registry = registry.Registry(
-            self.mirror, replicas.REGISTRATIONS_PREFIX, replicas.decode
+        self.kv_mirror = mirror.Mirror()
+        self.watch = watching.ServiceWatch(self.client, self.kv_mirror, lambda: 0.02, rng)
+        self.server_registry = registry.Registry(
+            self.kv_mirror, replicas.REGISTRATIONS_PREFIX, replicas.decode
         )
-        self.group_table = records.GroupTable(self.mirror)
+        self.group_table = records.GroupTable(self.kv_mirror)
         self.routes = table.RouteTableHolder(replicas.new_routes(self.engine))
         self.lease = lease.LeasedKey(
             self.client,
@@ -38,14 +38,14 @@
             self.name.encode(),
             plan.PLANNER_LEASE_S,
             rng,
-            is_acquisition_skipped=lambda: plan.PLANNER_KEY in self.mirror.items,
+            is_acquisition_skipped=lambda: plan.PLANNER_KEY in self.kv_mirror.items,
         )
         self.planner = planner.Planner(
-            self.mirror,
+            self.kv_mirror,
             self.lease,
-            plan.PlanWriter(self.client, self.mirror, self.lease, self.group_table),
+            plan.PlanWriter(self.client, self.kv_mirror, self.lease, self.group_table),
             self.group_table,
-            self.registry,
+            self.server_registry,
             self.routes,
             self.fleet,
             lambda: frozenset(self.closed_zones),
@@ -57,7 +57,7 @@
         with self.scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.watch.run)
-                nursery.start_soon(self.registry.run)
+                nursery.start_soon(self.server_registry.run)
                 nursery.start_soon(self.lease.run)
                 nursery.start_soon(self.planner.run)
 
@@ -68,7 +68,9 @@
         return [
             group
             for group in self.group_table.groups.values()
-            if group.record.model == model and not group.is_ending and group.is_open(self.registry)
+            if group.record.model == model
+            and not group.is_ending
+            and group.is_open(self.server_registry)
         ]
 
 
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -19,10 +19,10 @@
 
 class EntryListTest(unittest.TestCase):
     def setUp(self):
-        self.mirror = mirror.Mirror()
+        self.kv_mirror = mirror.Mirror()
         client = memory.MemoryPlatform().client("own")
         own = gateways.new_entry("own")
-        self.entry_list = entries.EntryList(own, client, self.mirror, random.Random(1))
+        self.entry_list = entries.EntryList(own, client, self.kv_mirror, random.Random(1))
 
     def _boots_by_name(self):
         return {entry.entry: entry.boot for entry in self.entry_list.others()}
@@ -31,20 +31,20 @@
     async def test_one_change_decodes_one_record(self):
         """Guards against entries that decode all records whenever one changes."""
         items = tuple(new_item(f"e{n}", n + 1) for n in range(195))
-        self.mirror.replace(keyvalue.RangeResult(195, items))
+        self.kv_mirror.replace(keyvalue.RangeResult(195, items))
         with mock.patch.object(codec, "from_json", wraps=codec.from_json) as decode:
-            self.mirror.apply(mirror.Changes(195, 196, (new_item("e195", 196),)))
+            self.kv_mirror.apply(mirror.Changes(195, 196, (new_item("e195", 196),)))
             self.entry_list._refresh_others()
         self.assertEqual(1, decode.call_count)
         self.assertEqual(196, len(self.entry_list.others()))
 
     @clocked.on_test_clock
     async def test_the_newest_record_of_a_restarted_entry_is_used(self):
-        self.mirror.replace(keyvalue.RangeResult(1, (new_item("e1", 1),)))
-        self.mirror.apply(mirror.Changes(1, 2, (new_item("e1", 2, "b2"),)))
+        self.kv_mirror.replace(keyvalue.RangeResult(1, (new_item("e1", 1),)))
+        self.kv_mirror.apply(mirror.Changes(1, 2, (new_item("e1", 2, "b2"),)))
         self.assertEqual({"e1": "b2"}, self._boots_by_name())
         old = mirror.Deletion(f"{entries.ENTRIES_PREFIX}e1/b1", 3)
-        self.mirror.apply(mirror.Changes(2, 3, (), (old,)))
+        self.kv_mirror.apply(mirror.Changes(2, 3, (), (old,)))
         self.assertEqual({"e1": "b2"}, self._boots_by_name())
         self.assertIsNone(self.entry_list.find("e1", "b1"))
         self.assertEqual("b2", self.entry_list.find("e1", "b2").boot)
@@ -54,5 +54,5 @@
         """Guards against an entry that exits or loses the others because of an invalid record."""
         invalid = new_item("e2", 2, value=b"\xff")
         with self.assertLogs(entries.LOGGER, "WARNING"):
-            self.mirror.replace(keyvalue.RangeResult(2, (new_item("e1", 1), invalid)))
+            self.kv_mirror.replace(keyvalue.RangeResult(2, (new_item("e1", 1), invalid)))
         self.assertEqual({"e1": "b1"}, self._boots_by_name())
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -21,14 +21,14 @@
         self.writer = self.platform.client("writer")
         client = self.platform.mirrored("entry-1")
         prefix = replicas.REGISTRATIONS_PREFIX
-        self.mirror = mirror.Mirror()
-        self.watch = watching.ServiceWatch(client, self.mirror, lambda: 0.05, random.Random(1))
-        self.registry = registry.Registry(self.mirror, prefix, replicas.decode)
+        self.kv_mirror = mirror.Mirror()
+        self.watch = watching.ServiceWatch(client, self.kv_mirror, lambda: 0.05, random.Random(1))
+        self.server_registry = registry.Registry(self.kv_mirror, prefix, replicas.decode)
 
     async def run(self):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.watch.run)
-            nursery.start_soon(self.registry.run)
+            nursery.start_soon(self.server_registry.run)
 
     async def write(self, name, value):
         key = replicas.REGISTRATIONS_PREFIX + name
@@ -48,11 +48,11 @@
             nursery.start_soon(fixture.run)
             await fixture.register(nursery, "s1", "s2")
             await trio.sleep(0.2)
-            self.assertEqual({"s1", "s2"}, set(fixture.registry.servers))
+            self.assertEqual({"s1", "s2"}, set(fixture.server_registry.servers))
             await trio.sleep(5)
             await fixture.write("s1", None)
             await trio.sleep(0.2)
-            self.assertEqual({"s2"}, set(fixture.registry.servers))
+            self.assertEqual({"s2"}, set(fixture.server_registry.servers))
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
@@ -69,10 +69,10 @@
             await fixture.write("s2", None)
             fixture.platform.set_mode("up", "entry-1")
             await trio.sleep(1)
-            self.assertEqual({"s1", "s2"}, set(fixture.registry.servers))
+            self.assertEqual({"s1", "s2"}, set(fixture.server_registry.servers))
             await fixture.register(nursery, "s1")
             await trio.sleep(2)
-            self.assertEqual({"s1"}, set(fixture.registry.servers))
+            self.assertEqual({"s1"}, set(fixture.server_registry.servers))
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
@@ -84,7 +84,7 @@
             await fixture.write("s2", b"\xff\x00")
             await fixture.write("s3", b"[]")
             await trio.sleep(0.3)
-            self.assertEqual({"s1"}, set(fixture.registry.servers))
+            self.assertEqual({"s1"}, set(fixture.server_registry.servers))
             nursery.cancel_scope.cancel()
 
 
@@ -104,7 +104,7 @@
             await fixture.register(nursery, "s3")
             fixture.platform.set_mode("up", "entry-1")
             await trio.sleep(4)
-            self.assertEqual({"s2", "s3"}, set(fixture.registry.servers))
+            self.assertEqual({"s2", "s3"}, set(fixture.server_registry.servers))
             nursery.cancel_scope.cancel()
 
     @clocked.on_test_clock
@@ -119,7 +119,7 @@
                 await fixture.register(nursery, f"s{number}")
                 await trio.sleep(0.01)
             await trio.sleep(0.3)
-            self.assertEqual(20, len(fixture.registry.servers))
+            self.assertEqual(20, len(fixture.server_registry.servers))
             # The stand-in's watch is itself counted within each of its returns.
             self.assertLess(fixture.platform.calls["entry-1", "watch"] - before, 20)
             nursery.cancel_scope.cancel()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -27,12 +27,14 @@
 
     def __attrs_post_init__(self):
         rng = random.Random(self.name)
-        self.mirror = mirror.Mirror()
+        self.kv_mirror = mirror.Mirror()
         transport = self.site.network.transport(self.name)
         client = self.site.platform.mirrored(self.name)
-        watch = watching.ServiceWatch(client, self.mirror, lambda: 0.1, rng)
-        self.publisher = publishing.Publisher(self.mirror, self.name, transport)
-        self.follower = following.Follower(self.mirror, watch, transport, lambda: self.sources, rng)
+        watch = watching.ServiceWatch(client, self.kv_mirror, lambda: 0.1, rng)
+        self.publisher = publishing.Publisher(self.kv_mirror, self.name, transport)
+        self.follower = following.Follower(
+            self.kv_mirror, watch, transport, lambda: self.sources, rng
+        )
         self.scope = trio.CancelScope()
 
     async def run(self):
@@ -47,7 +49,7 @@
         )
 
     def has(self, key):
-        return key in self.mirror.items
+        return key in self.kv_mirror.items
 
 
 @attrs.define(eq=False, slots=False)
@@ -111,10 +113,10 @@
             await trio.sleep(0.3)
         await site.write("things/3", None)
         await site.seconds_until(lambda: not site["f1"].has("things/3"), 0.5)
-        self.assertEqual(site["r1"].mirror.items, site["f1"].mirror.items)
+        self.assertEqual(site["r1"].kv_mirror.items, site["f1"].kv_mirror.items)
         self.assertEqual(calls_before[0], site["f1"].calls())
         self.assertLess(calls_before[1] + 20, site["r1"].calls())
-        self.assertTrue(site["f1"].mirror.is_answering)
+        self.assertTrue(site["f1"].kv_mirror.is_answering)
 
     @with_site
     async def test_source_that_lost_the_service_is_left_in_time(self, site):
@@ -149,11 +151,11 @@
     async def test_followers_learn_of_an_outage_and_of_its_end(self, site):
         """Guards against followers that remove servers whose registrations expired in an outage."""
         site.platform.set_mode("down")
-        await site.seconds_until(lambda: not site["f2"].mirror.is_answering, DRAIN_S)
+        await site.seconds_until(lambda: not site["f2"].kv_mirror.is_answering, DRAIN_S)
         await trio.sleep(5)
         site.platform.set_mode("up")
-        await site.seconds_until(lambda: site["f2"].mirror.is_answering, 3)
-        self.assertLess(site["f2"].mirror.since_failure_s, 3)
+        await site.seconds_until(lambda: site["f2"].kv_mirror.is_answering, 3)
+        self.assertLess(site["f2"].kv_mirror.since_failure_s, 3)
 
     @with_site
     async def test_retries_of_sources_in_an_outage_leave_no_open_streams(self, site):
@@ -174,10 +176,10 @@
         await trio.sleep(0.3)
         late_node = Node("f3", site, ["r1"])
         # Its revision is older than the source's history.
-        late_node.mirror.replace(keyvalue.RangeResult(2, (keyvalue.Item("old", b"x", 1, 2),)))
+        late_node.kv_mirror.replace(keyvalue.RangeResult(2, (keyvalue.Item("old", b"x", 1, 2),)))
         site.nursery.start_soon(late_node.run)
         await trio.sleep(0.5)
-        self.assertEqual(site["r1"].mirror.items, late_node.mirror.items)
+        self.assertEqual(site["r1"].kv_mirror.items, late_node.kv_mirror.items)
 
     @with_site
     async def test_invalid_message_ends_only_its_own_stream(self, site):
@@ -201,34 +203,34 @@
 
 class MirrorTest(unittest.TestCase):
     def setUp(self):
-        self.mirror = mirror.Mirror()
+        self.kv_mirror = mirror.Mirror()
         items = (keyvalue.Item("a", b"1", 1, 1), keyvalue.Item("b", b"1", 2, 5))
-        self.mirror.replace(keyvalue.RangeResult(4, items))
+        self.kv_mirror.replace(keyvalue.RangeResult(4, items))
 
     def test_overlapping_changes_do_not_restore_old_values(self):
         newer = mirror.Changes(4, 9, (keyvalue.Item("a", b"2", 1, 9),))
-        self.mirror.apply(newer)
+        self.kv_mirror.apply(newer)
         older = mirror.Changes(3, 8, (keyvalue.Item("a", b"1", 1, 8),))
-        self.mirror.apply(older)
-        self.assertEqual(b"2", self.mirror.items["a"].value)
+        self.kv_mirror.apply(older)
+        self.assertEqual(b"2", self.kv_mirror.items["a"].value)
 
     def test_changes_after_a_gap_are_ignored(self):
-        self.mirror.apply(mirror.Changes(7, 9, (keyvalue.Item("a", b"2", 1, 9),)))
-        self.assertEqual((4, b"1"), (self.mirror.revision, self.mirror.items["a"].value))
+        self.kv_mirror.apply(mirror.Changes(7, 9, (keyvalue.Item("a", b"2", 1, 9),)))
+        self.assertEqual((4, b"1"), (self.kv_mirror.revision, self.kv_mirror.items["a"].value))
 
     def test_old_deletion_does_not_remove_a_newer_item(self):
-        self.mirror.apply(mirror.Changes(4, 6, (), (mirror.Deletion("b", 4),)))
-        self.assertIn("b", self.mirror.items)
+        self.kv_mirror.apply(mirror.Changes(4, 6, (), (mirror.Deletion("b", 4),)))
+        self.assertIn("b", self.kv_mirror.items)
 
     def test_changes_since_a_revision_are_merged(self):
-        self.mirror.apply(mirror.Changes(4, 6, (keyvalue.Item("c", b"1", 6, 6),)))
-        self.mirror.apply(mirror.Changes(6, 7, (), (mirror.Deletion("c", 7),)))
-        self.mirror.apply(mirror.Changes(7, 8, (keyvalue.Item("a", b"2", 1, 8),)))
-        changes = self.mirror.changes_since(5)
+        self.kv_mirror.apply(mirror.Changes(4, 6, (keyvalue.Item("c", b"1", 6, 6),)))
+        self.kv_mirror.apply(mirror.Changes(6, 7, (), (mirror.Deletion("c", 7),)))
+        self.kv_mirror.apply(mirror.Changes(7, 8, (keyvalue.Item("a", b"2", 1, 8),)))
+        changes = self.kv_mirror.changes_since(5)
         self.assertEqual((5, 8), (changes.after, changes.revision))
         self.assertEqual(["a"], [item.key for item in changes.items])
         self.assertEqual(["c"], [deletion.key for deletion in changes.deleted])
-        self.assertIsNone(self.mirror.changes_since(3))
+        self.assertIsNone(self.kv_mirror.changes_since(3))
 
 
 class PlannerWatchTest(unittest.TestCase):
@@ -283,7 +285,7 @@
             def add_source(keys):
                 late_node.sources[:] = ["r1"]
 
-            late_node.mirror.add_listener("", add_source)
+            late_node.kv_mirror.add_listener("", add_source)
             await site.write("things/first")
             nursery.start_soon(late_node.run)
             await trio.sleep(3)
--- a/tests/test_replica_sequences.py
+++ b/tests/test_replica_sequences.py
@@ -51,7 +51,7 @@
         """Run a request in every group that entries would send requests to."""
         for node in self.cluster.nodes.values():
             for group in node.group_table.groups.values():
-                if not group.is_ending and group.is_open(node.registry):
+                if not group.is_ending and group.is_open(node.server_registry):
                     size = self.cluster.engine.model(group.record.model).size
                     self.cluster.fleet.run_request(group.head.server_id, size)
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -372,9 +372,11 @@
             group = node.serving_groups("large")[0]
             self.assertIs(
                 servers.GroupState.OPEN,
-                node.registry.servers[group.head.server_id].state_in(group.name, group.epoch),
+                node.server_registry.servers[group.head.server_id].state_in(
+                    group.name, group.epoch
+                ),
             )
             await cluster.fleet.restart(group.record.members[1].server_id)
             await trio.sleep(0.1)
-            self.assertFalse(group.is_open(node.registry))
+            self.assertFalse(group.is_open(node.server_registry))
             nursery.cancel_scope.cancel()
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -31,16 +31,16 @@
 
 class HeadsTest(unittest.TestCase):
     def setUp(self):
-        self.mirror = mirror.Mirror()
+        self.kv_mirror = mirror.Mirror()
         server_registry = registry.Registry(
-            self.mirror, replicas.REGISTRATIONS_PREFIX, replicas.decode
+            self.kv_mirror, replicas.REGISTRATIONS_PREFIX, replicas.decode
         )
-        self.group_registry = records.GroupTable(self.mirror)
+        self.group_table = records.GroupTable(self.kv_mirror)
         self.closed_zones = set()
         cold = budget.ColdBudget(1.5, 5, gateways.FixedList(gateways.new_entry("e1")))
         self.targets = targets.ServerSelector(
             server_registry,
-            self.group_registry,
+            self.group_table,
             load.LoadTracker(),
             health.Health(),
             cold,
@@ -50,15 +50,15 @@
         )
 
     def _put(self, *heads, revision):
-        before = self.mirror.revision
+        before = self.kv_mirror.revision
         items = tuple(new_item(head, revision) for head in heads)
-        self.mirror.apply(mirror.Changes(before, revision, items))
+        self.kv_mirror.apply(mirror.Changes(before, revision, items))
 
     def _add_group(self, name, epoch):
         record = records.GroupRecord(
             f"g-{name}", replicas.SERVICE, "large", (records.Member(name, 1),)
         )
-        self.group_registry.put(records.Group(record, epoch, epoch))
+        self.group_table.put(records.Group(record, epoch, epoch))
 
     def _candidate_ids(self):
         return [server.server_id for server in self.targets.find_candidates(SERVICE, "large")]
@@ -66,7 +66,7 @@
     @clocked.on_test_clock
     async def test_changes_of_heads_groups_and_zones_apply_immediately(self):
         """Guards against requests to heads that closed, left or are in a closed zone."""
-        self.mirror.replace(keyvalue.RangeResult(1, ()))
+        self.kv_mirror.replace(keyvalue.RangeResult(1, ()))
         self._put(new_head("h1", 5), new_head("h2", 5, zone="zone-b"), revision=2)
         self.assertEqual([], self._candidate_ids())
         self._add_group("h1", 5)
@@ -80,13 +80,13 @@
         self._put(attrs.evolve(new_head("h1", 5), is_leaving=True), revision=4)
         self.assertEqual([], self._candidate_ids())
         self._put(new_head("h1", 5), revision=5)
-        self.group_registry.remove("g-h1")
+        self.group_table.remove("g-h1")
         self.assertEqual([], self._candidate_ids())
 
     @clocked.on_test_clock
     async def test_a_selection_without_changes_checks_no_members(self):
         """Guards against selections that each check a thousand members of ninety groups."""
-        self.mirror.replace(keyvalue.RangeResult(1, ()))
+        self.kv_mirror.replace(keyvalue.RangeResult(1, ()))
         heads = [new_head(f"h{n}", 5) for n in range(90)]
         self._put(*heads, revision=2)
         for head in heads:
--- a/toucanhold/coordination/watching.py
+++ b/toucanhold/coordination/watching.py
@@ -59,7 +59,7 @@
     """
 
     source: ChangeSource
-    mirror: mirror.Mirror
+    kv_mirror: mirror.Mirror
     batch_delay_s: collections.abc.Callable[[], float]
     rng: random.Random
     max_backoff_s: float = attrs.field(default=MAX_BACKOFF_S, init=False)
@@ -67,7 +67,7 @@
     async def run(self) -> None:
         """Watch from the mirror's revision until cancelled; read all items first where it is 0."""
         backoff_s = FIRST_BACKOFF_S
-        is_full_read_needed = not self.mirror.revision
+        is_full_read_needed = not self.kv_mirror.revision
         while True:
             try:
                 await self._sync_once(is_full_read_needed)
@@ -76,13 +76,13 @@
                 continue
             except keyvalue.CompactedError:
                 is_full_read_needed = True
-                events.log(LOGGER, events.Event.HISTORY_LOST, revision=self.mirror.revision)
+                events.log(LOGGER, events.Event.HISTORY_LOST, revision=self.kv_mirror.revision)
                 continue
             except keyvalue.KeyValueError as error:
                 failed_status = attrs.evolve(
-                    self.mirror.sync_status, is_answering=False, last_failure_at=clock.now()
+                    self.kv_mirror.sync_status, is_answering=False, last_failure_at=clock.now()
                 )
-                self.mirror.update_sync_status(failed_status, SERVICE_NAME, str(error))
+                self.kv_mirror.update_sync_status(failed_status, SERVICE_NAME, str(error))
             # Jitter keeps the entries from calling all at once when the service recovers.
             await trio.sleep(backoff_s * self.rng.uniform(0.5, 1.5))
             backoff_s = min(self.max_backoff_s, backoff_s * 2)
@@ -91,27 +91,27 @@
         if is_full_read_needed:
             # The first watch returns what a stale first read lacks. After a compaction, however, a
             # stale read could return a revision whose history is compacted, and again each time.
-            may_be_stale = not self.mirror.revision
+            may_be_stale = not self.kv_mirror.revision
             result = await self.source.read_all(may_be_stale)
             self._record_answer(is_current=not may_be_stale)
-            self.mirror.replace(result)
+            self.kv_mirror.replace(result)
             # If the items read name an entry to follow, this task is cancelled here, before it
             # makes a watch call, for which the platform charges.
             await trio.sleep(self.batch_delay_s())
             return
-        changes = await self.source.read_changes(self.mirror.revision, WATCH_WAIT_S)
+        changes = await self.source.read_changes(self.kv_mirror.revision, WATCH_WAIT_S)
         self._record_answer(is_current=True)
-        self.mirror.apply(changes)
+        self.kv_mirror.apply(changes)
         if not changes.is_empty:
             await trio.sleep(self.batch_delay_s())
 
     def _record_answer(self, is_current: bool) -> None:
-        sync_status = attrs.evolve(self.mirror.sync_status, is_answering=True)
-        if not self.mirror.is_answering:
+        sync_status = attrs.evolve(self.kv_mirror.sync_status, is_answering=True)
+        if not self.kv_mirror.is_answering:
             # The outage may have ended only now. Counting from the last failed call would leave too
             # little time for registrations that expired in the outage to be renewed, and none at
             # all where the calls were seconds apart.
             sync_status = attrs.evolve(sync_status, last_failure_at=clock.now())
         if is_current:
             sync_status = attrs.evolve(sync_status, confirmed_at=clock.now())
-        self.mirror.update_sync_status(sync_status, SERVICE_NAME)
+        self.kv_mirror.update_sync_status(sync_status, SERVICE_NAME)
--- a/toucanhold/gateway/entries.py
+++ b/toucanhold/gateway/entries.py
@@ -48,14 +48,14 @@
     """Keeps this entry registered and follows the registrations of the others.
 
     :ivar own: this entry
-    :ivar source: mirror of the key-value service
+    :ivar kv_mirror: mirror of the key-value service
     :ivar is_stopping: whether this entry has deregistered or is doing so
     :ivar version: incremented with each change of the other entries
     """
 
     own: Entry
     client: keyvalue.KeyValueClient
-    source: mirror.Mirror
+    kv_mirror: mirror.Mirror
     rng: random.Random
     is_stopping: bool = attrs.field(default=False, init=False)
     version: int = attrs.field(default=0, init=False)
@@ -76,7 +76,7 @@
             # costs a tenth of that.
             is_contended=False,
         )
-        self.source.add_listener(ENTRIES_PREFIX, self._apply_changes)
+        self.kv_mirror.add_listener(ENTRIES_PREFIX, self._apply_changes)
 
     async def run(self) -> None:
         """Keep this entry registered until cancelled or deregistered."""
@@ -110,7 +110,7 @@
     def _apply_changes(self, keys: frozenset[str]) -> None:
         for key in keys:
             self._records.pop(key, None)
-            item = self.source.items.get(key)
+            item = self.kv_mirror.items.get(key)
             if item is None or key == self._own_key:
                 continue
             try:
@@ -131,7 +131,7 @@
 
     def _set_others(self, others: dict[str, Entry]) -> None:
         """Replace the other entries; shortly after an outage, only add and update them."""
-        if self.source.since_failure_s < LAPSE_GRACE_S:
+        if self.kv_mirror.since_failure_s < LAPSE_GRACE_S:
             others = self._others | others
         for name in others.keys() - self._others.keys():
             events.log(LOGGER, events.Event.ENTRY_JOINED, entry=name, zone=others[name].zone)
--- a/toucanhold/gateway/targets.py
+++ b/toucanhold/gateway/targets.py
@@ -26,23 +26,25 @@
 class ServerSelector:
     """Selects servers by load, failure rate and availability zone.
 
-    :ivar known: registered backend servers
-    :ivar group_registry: groups of backend servers, whose heads serve models
-    :ivar cold: limits requests to servers that have just started
+    :ivar server_registry: registered backend servers
+    :ivar group_table: groups of backend servers, whose heads serve models
+    :ivar cold_budget: limits requests to servers that have just started
     :ivar closed_zones: availability zones whose servers get no requests
     :ivar zone: this entry's availability zone
-    :ivar placed: number of requests placed, by whether the server is in another zone
+    :ivar placement_counts: number of requests placed, by whether the server is in another zone
     """
 
-    known: registry.Registry
-    group_registry: records.GroupTable
+    server_registry: registry.Registry
+    group_table: records.GroupTable
     loads: load.LoadTracker
     health: health.Health
-    cold: budget.ColdBudget
+    cold_budget: budget.ColdBudget
     closed_zones: collections.abc.Set[str]
     zone: str
     rng: random.Random
-    placed: collections.Counter[bool] = attrs.field(factory=collections.Counter, init=False)
+    placement_counts: collections.Counter[bool] = attrs.field(
+        factory=collections.Counter, init=False
+    )
     # Cached by service and model, because checking all members of all groups for each request took
     # most of the time of a selection.
     _candidates: dict[tuple[str, str], list[servers.Server]] = attrs.field(factory=dict, init=False)
@@ -51,16 +53,16 @@
     def record_placement(self, server: servers.Server) -> None:
         """Count a request that is placed on a server."""
         self.loads.add(server.server_id)
-        self.placed[server.zone != self.zone] += 1
+        self.placement_counts[server.zone != self.zone] += 1
         if server.cold_until_s > trio.current_time():
-            self.cold.record_request(server.server_id)
+            self.cold_budget.record_request(server.server_id)
 
     def find_candidates(self, service: table.Service, model: str) -> list[servers.Server]:
         """Return the servers that serve a model now, whether or not they have capacity.
 
         :param model: ignored for services without models
         """
-        version = self.known.version, self.group_registry.version
+        version = self.server_registry.version, self.group_table.version
         if version != self._candidates_version:
             self._candidates_version = version
             self._candidates.clear()
@@ -106,31 +108,31 @@
             group.record.service == service.name
             and group.record.model == model
             and not group.is_ending
-            for group in self.group_registry.groups.values()
+            for group in self.group_table.groups.values()
         )
 
     def _serving_servers(self, service: table.Service, model: str) -> list[servers.Server]:
         if service.engine is not None:
             candidates = self._open_heads(service, model)
         else:
-            candidates = self.known.of_service(service.name)
+            candidates = self.server_registry.of_service(service.name)
         return [server for server in candidates if not server.is_leaving]
 
     def _open_heads(self, service: table.Service, model: str) -> list[servers.Server]:
         return [
-            self.known.servers[group.head.server_id]
-            for group in self.group_registry.groups.values()
+            self.server_registry.servers[group.head.server_id]
+            for group in self.group_table.groups.values()
             if group.record.service == service.name
             and group.record.model == model
             and not group.is_ending
-            and group.is_open(self.known)
+            and group.is_open(self.server_registry)
         ]
 
     def _has_capacity(self, service: table.Service, server: servers.Server) -> bool:
         if self.loads.estimate(server.server_id) >= _slots(service, server):
             return False
         if server.cold_until_s > trio.current_time():
-            return self.cold.may_send(server, service.cold_requests_per_s)
+            return self.cold_budget.may_send(server, service.cold_requests_per_s)
         return True
 
     def _placement_cost(
--- a/toucanhold/platform/entry.py
+++ b/toucanhold/platform/entry.py
@@ -76,13 +76,15 @@
         self.rng = random.Random()
         self.metrics = metrics.Metrics(entry_settings.entry)
         self.store = store.StoreClient(entry_settings.store_address)
-        self.mirror = mirror.Mirror()
-        self.registry = registry.Registry(self.mirror, registrations.PREFIX, registrations.decode)
-        self.group_records = records.GroupTable(self.mirror)
+        self.kv_mirror = mirror.Mirror()
+        self.server_registry = registry.Registry(
+            self.kv_mirror, registrations.PREFIX, registrations.decode
+        )
+        self.group_table = records.GroupTable(self.kv_mirror)
         self.routes = table.RouteTableHolder()
         self.closed_zones: set[str] = set()
-        self.mirror.add_listener(configuration.PREFIX, self._apply_operator_settings)
-        self.entries = entries.EntryList(self._own_entry(), self.store, self.mirror, self.rng)
+        self.kv_mirror.add_listener(configuration.PREFIX, self._apply_operator_settings)
+        self.entry_list = entries.EntryList(self._own_entry(), self.store, self.kv_mirror, self.rng)
         self.servers = servers.PlatformServerClient()
         self._build_relay()
         self._build_planner()
@@ -95,9 +97,9 @@
         await nursery.start(self.publisher.run)
         for run in (
             self.follower.run,
-            self.registry.run,
-            self.entries.run,
-            self.entries.run_expiry,
+            self.server_registry.run,
+            self.entry_list.run,
+            self.entry_list.run_expiry,
             self.planner_lease.run,
             self.planner.run,
             self.gateway.admission.run,
@@ -106,9 +108,9 @@
             self._reload_on_signal,
         ):
             nursery.start_soon(run)
-        front_app = front.FrontApp(self.gateway, self.metrics, lambda: self.entries.is_stopping)
+        front_app = front.FrontApp(self.gateway, self.metrics, lambda: self.entry_list.is_stopping)
         await self._serve(nursery, front_app, entry_settings.callers_address)
-        directory_app = directory.DirectoryApp(self.entries, self.rng)
+        directory_app = directory.DirectoryApp(self.entry_list, self.rng)
         await self._serve(nursery, directory_app, entry_settings.directory_address)
         readiness_app = directory.ReadinessApp(self.is_ready, self.metrics)
         await self._serve(nursery, readiness_app, entry_settings.readiness_address)
@@ -118,7 +120,7 @@
             LOGGER,
             events.Event.ENTRY_STARTED,
             entry=entry_settings.entry,
-            boot=self.entries.own.boot,
+            boot=self.entry_list.own.boot,
             callers=entry_settings.callers_address,
         )
 
@@ -127,7 +129,7 @@
         events.log(LOGGER, events.Event.ENTRY_STOPPING, in_flight=self.gateway.in_flight)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.planner_lease.release)
-            nursery.start_soon(self.entries.deregister)
+            nursery.start_soon(self.entry_list.deregister)
             # Callers cache the directory's answers and keep connecting for that long.
             nursery.start_soon(trio.sleep, CALLER_DRAIN_S)
         self._stop_http_servers.set()
@@ -141,7 +143,7 @@
 
     def is_ready(self) -> bool:
         """Return whether this entry accepts new callers: it has routes and is not stopping."""
-        return not self.entries.is_stopping and self.routes.table is not None
+        return not self.entry_list.is_stopping and self.routes.table is not None
 
     def _own_entry(self) -> entries.Entry:
         entry_settings = self.settings
@@ -157,21 +159,23 @@
 
     def _build_relay(self) -> None:
         peers = transport.TcpTransport()
-        watch = watching.ServiceWatch(self.store, self.mirror, self._batch_delay_s, self.rng)
-        self.hierarchy = hierarchy.Hierarchy(self.entries, self._planner_name)
-        self.publisher = publishing.Publisher(self.mirror, self.entries.own.exchange_address, peers)
+        watch = watching.ServiceWatch(self.store, self.kv_mirror, self._batch_delay_s, self.rng)
+        self.hierarchy = hierarchy.Hierarchy(self.entry_list, self._planner_name)
+        self.publisher = publishing.Publisher(
+            self.kv_mirror, self.entry_list.own.exchange_address, peers
+        )
         self.follower = following.Follower(
-            self.mirror, watch, peers, self.hierarchy.sources, self.rng
+            self.kv_mirror, watch, peers, self.hierarchy.sources, self.rng
         )
 
     def _planner_name(self) -> str:
-        item = self.mirror.items.get(plan.PLANNER_KEY)
+        item = self.kv_mirror.items.get(plan.PLANNER_KEY)
         return item.value.decode(errors="replace") if item is not None else ""
 
     def _is_planner_candidate(self) -> bool:
         # If every entry tried, each change of planner would cost as many calls as there are
         # entries. Entries that follow others would also learn of the free lease later.
-        return self.follower.is_watching and plan.PLANNER_KEY not in self.mirror.items
+        return self.follower.is_watching and plan.PLANNER_KEY not in self.kv_mirror.items
 
     def _build_planner(self) -> None:
         self.planner_lease = lease.LeasedKey(
@@ -183,11 +187,11 @@
             is_acquisition_skipped=lambda: not self._is_planner_candidate(),
         )
         self.planner = planner.Planner(
-            self.mirror,
+            self.kv_mirror,
             self.planner_lease,
-            plan.PlanWriter(self.store, self.mirror, self.planner_lease, self.group_records),
-            self.group_records,
-            self.registry,
+            plan.PlanWriter(self.store, self.kv_mirror, self.planner_lease, self.group_table),
+            self.group_table,
+            self.server_registry,
             self.routes,
             self.servers,
             lambda: frozenset(self.closed_zones),
@@ -200,13 +204,15 @@
         self.loads = load.LoadTracker()
         self.crashes = crashes.CrashTracker()
         self.exchange = exchange.Exchange(
-            self.entries, self.loads, self.crashes, self._on_silence_report, self.rng
+            self.entry_list, self.loads, self.crashes, self._on_silence_report, self.rng
         )
         self.silence = silence.SilenceDetector(self.health, self._on_silent_server)
-        self.cold_budget = budget.ColdBudget(bounds.cold_overage, bounds.cold_slack, self.entries)
+        self.cold_budget = budget.ColdBudget(
+            bounds.cold_overage, bounds.cold_slack, self.entry_list
+        )
         self.targets = targets.ServerSelector(
-            self.registry,
-            self.group_records,
+            self.server_registry,
+            self.group_table,
             self.loads,
             self.health,
             self.cold_budget,
@@ -251,7 +257,7 @@
         self.planner.suspect(server_id)
 
     def _traffic_share(self) -> float:
-        return sharing.share(self.entries.own, self.entries.others())
+        return sharing.share(self.entry_list.own, self.entry_list.others())
 
     def _on_silence_report(self, server_id: str, entry_name: str) -> None:
         if self.silence.confirm(server_id, entry_name):
@@ -264,26 +270,26 @@
         if configuration.CONFIGURATION_KEY in keys:
             self._apply_configuration()
         prefix = configuration.EVACUATE_PREFIX
-        closed = {item.key.removeprefix(prefix) for item in self.mirror.items_under(prefix)}
+        closed = {item.key.removeprefix(prefix) for item in self.kv_mirror.items_under(prefix)}
         for zone in closed - self.closed_zones:
             events.log(
                 LOGGER,
                 events.Event.ZONE_CLOSED,
                 availability_zone=zone,
-                revision=self.mirror.revision,
+                revision=self.kv_mirror.revision,
             )
         for zone in self.closed_zones - closed:
             events.log(
                 LOGGER,
                 events.Event.ZONE_OPENED,
                 availability_zone=zone,
-                revision=self.mirror.revision,
+                revision=self.kv_mirror.revision,
             )
         self.closed_zones.clear()
         self.closed_zones.update(closed)
 
     def _apply_configuration(self) -> None:
-        item = self.mirror.items.get(configuration.CONFIGURATION_KEY)
+        item = self.kv_mirror.items.get(configuration.CONFIGURATION_KEY)
         if item is None:
             return
         try:
--- a/toucanhold/relay/following.py
+++ b/toucanhold/relay/following.py
@@ -58,7 +58,7 @@
     :ivar is_watching: whether this entry watches the service now
     """
 
-    mirror: mirror.Mirror
+    kv_mirror: mirror.Mirror
     service_watch: watching.ServiceWatch
     transport: transport.PeerTransport
     sources: Sources
@@ -95,7 +95,7 @@
 
     async def _wait_for_sources(self) -> None:
         while not self.sources():
-            await self.mirror.changed.wait(SOURCE_RETRY_INTERVAL_S)
+            await self.kv_mirror.changed.wait(SOURCE_RETRY_INTERVAL_S)
 
     async def _retry_sources(self, streams: contextlib.AsyncExitStack) -> None:
         # The sources may have lost the service as well. Each attempt costs them little, and each
@@ -127,7 +127,9 @@
             frame_stream = frames.FrameStream(stream, FRAME_LIMIT_BYTES, SILENCE_TIMEOUT_S)
             source = _SourceStream(address, frame_stream)
             with _translated_errors():
-                await frame_stream.send([messages.encode(messages.Subscribe(self.mirror.revision))])
+                await frame_stream.send(
+                    [messages.encode(messages.Subscribe(self.kv_mirror.revision))]
+                )
             # The first status says whether the source gets answers of the service. If not, its
             # stream is closed here; otherwise streams of repeated attempts would accumulate during
             # an outage.
@@ -146,8 +148,8 @@
                 events.Event.SOURCE_LOST,
                 source=source.address,
                 reason=str(error),
-                revision=self.mirror.revision,
-                confirmed_s=round(self.mirror.sync_status.confirmed_at.age_s(), 3),
+                revision=self.kv_mirror.revision,
+                confirmed_s=round(self.kv_mirror.sync_status.confirmed_at.age_s(), 3),
             )
 
     def _is_still_preferred(self, source: _SourceStream) -> bool:
@@ -170,9 +172,9 @@
             match message:
                 case messages.Snapshot():
                     result = keyvalue.RangeResult(message.revision, message.items)
-                    self.mirror.replace(result)
+                    self.kv_mirror.replace(result)
                 case messages.Update():
-                    self.mirror.apply(message.changes)
+                    self.kv_mirror.apply(message.changes)
                 case messages.Status():
                     self._apply_status(source, message)
                     return
@@ -188,7 +190,7 @@
             raise SourceLostError(
                 f"source lost the service; last up to date {status.confirmed_s:.2f} s ago"
             )
-        self.mirror.update_sync_status(sync_status, source.address)
+        self.kv_mirror.update_sync_status(sync_status, source.address)
 
 
 def _instant_before(now: clock.Instant, age_s: float) -> clock.Instant:
--- a/toucanhold/relay/publishing.py
+++ b/toucanhold/relay/publishing.py
@@ -28,11 +28,11 @@
 class Publisher:
     """Serves the streams of entries that follow this one.
 
-    :ivar mirror: items and changes to publish
+    :ivar kv_mirror: items and changes to publish
     :ivar address: ``IP:port`` to listen on
     """
 
-    mirror: mirror.Mirror
+    kv_mirror: mirror.Mirror
     address: str
     transport: transport.PeerTransport
     _encoded_changes: tuple[tuple[int, int], bytes] = attrs.field(default=((0, 0), b""), init=False)
@@ -59,30 +59,30 @@
         revision = subscription.revision
         while True:
             bodies = []
-            if self.mirror.revision > revision:
+            if self.kv_mirror.revision > revision:
                 bodies.append(self._changes_since(revision))
-                revision = self.mirror.revision
+                revision = self.kv_mirror.revision
             bodies.append(messages.encode(self._status()))
             with trio.fail_after(SEND_TIMEOUT_S):
                 await frame_stream.send(bodies)
-            if self.mirror.revision <= revision:
-                await self.mirror.changed.wait(HEARTBEAT_INTERVAL_S)
+            if self.kv_mirror.revision <= revision:
+                await self.kv_mirror.changed.wait(HEARTBEAT_INTERVAL_S)
 
     def _changes_since(self, revision: int) -> bytes:
-        revisions = revision, self.mirror.revision
+        revisions = revision, self.kv_mirror.revision
         # Most followers are at the same revision, so their message is encoded once for all of them.
         if self._encoded_changes[0] != revisions:
             self._encoded_changes = revisions, messages.encode(self._message_since(revision))
         return self._encoded_changes[1]
 
     def _message_since(self, revision: int) -> messages.Message:
-        changes = self.mirror.changes_since(revision) if revision else None
+        changes = self.kv_mirror.changes_since(revision) if revision else None
         if changes is None:
-            return messages.Snapshot(self.mirror.revision, tuple(self.mirror.items.values()))
+            return messages.Snapshot(self.kv_mirror.revision, tuple(self.kv_mirror.items.values()))
         return messages.Update(changes)
 
     def _status(self) -> messages.Status:
-        sync_status = self.mirror.sync_status
+        sync_status = self.kv_mirror.sync_status
         return messages.Status(
             sync_status.is_answering,
             sync_status.confirmed_at.age_s(),
