--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -137,15 +137,15 @@
 MUTANTS = {
     promises.whole_groups: (
         _calls_while_groups_form,
-        (candidates.CandidateFinder, "_is_whole", lambda *_: True),
+        (candidates.CandidateFinder, "_is_group_complete", lambda *_: True),
     ),
     promises.one_group_per_vm: (_groups_form, (spreading, "Spreading", _AnyMembers)),
-    promises.cold_servers: (_many_at_once, (cold.SlotShares, "share", lambda *_: 100)),
+    promises.cold_servers: (_many_at_once, (cold.SharedLimit, "request_limit", lambda *_: 100)),
     promises.zones_out: (
         _zone_out,
-        (candidates.CandidateFinder, "_may_work", lambda *_: True),
+        (candidates.CandidateFinder, "_is_usable", lambda *_: True),
     ),
-    promises.whole_answers: (_stream_is_cut, (app, "_break_off", _end_cleanly)),
+    promises.whole_answers: (_stream_is_cut, (app, "_abort_stream", _end_cleanly)),
     promises.true_refusals: (_server_dies_with_order, (problems, "body", _never_ran)),
     promises.at_most_once: (
         _server_dies_with_order,
--- a/tests/test_replica_sequences.py
+++ b/tests/test_replica_sequences.py
@@ -153,7 +153,9 @@
     @clocked.on_test_clock
     async def test_opening_before_all_are_ready_is_caught(self):
         states = tuple(servers.GroupState)
-        await self._assert_violation_found(unittest.mock.patch.object(driver, "JOINED", states))
+        await self._assert_violation_found(
+            unittest.mock.patch.object(driver, "JOINED_STATES", states)
+        )
 
     @clocked.on_test_clock
     async def test_reusing_the_members_of_a_head_that_may_still_serve_is_caught(self):
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -197,7 +197,7 @@
             refused = unittest.mock.AsyncMock(return_value=orders.OrderOutcome.REFUSED)
             with (
                 unittest.mock.patch.object(cluster.fleet.__class__, "_change", refused),
-                unittest.mock.patch.object(driver, "ORDER_AGAIN_S", 0.1),
+                unittest.mock.patch.object(driver, "ORDER_RETRY_S", 0.1),
             ):
                 node = cluster.start("entry-1")
                 await trio.sleep(25)
--- a/toucanhold/callers/app.py
+++ b/toucanhold/callers/app.py
@@ -249,14 +249,14 @@
         if not has_started:
             raise
         _log_error(request.request_id, error)
-        await _break_off(send, error, request.request_id)
+        await _abort_stream(send, error, request.request_id)
         return
     if not has_started:
         await asgi.start(send, answer.status, headers)
     await asgi.write(send, b"", False)
 
 
-async def _break_off(send: asgi.Send, error: requests.RequestError, request_id: str) -> None:
+async def _abort_stream(send: asgi.Send, error: requests.RequestError, request_id: str) -> None:
     # A clean end would make a truncated response look complete. The error event gives the reader
     # of the stream the reason. The missing last chunk shows any HTTP client that the response is
     # incomplete: the ASGI server closes the connection when the application returns without it.
--- a/toucanhold/replicas/driver.py
+++ b/toucanhold/replicas/driver.py
@@ -12,7 +12,7 @@
 from toucanhold.replicas import order_sender, orders, plan, records
 
 # Retry interval of orders that have had no effect; a join with a loaded model takes 0.2 s.
-ORDER_AGAIN_S = 1.0
+ORDER_RETRY_S = 1.0
 # Must exceed the longest model load (16 s) while several loads run concurrently.
 FORMING_TIMEOUT_S = 45.0
 # Running requests of a group that ends by plan may finish for this long; most take under 3 s.
@@ -28,7 +28,7 @@
 
 LOGGER = logging.getLogger(__name__)
 
-JOINED = (servers.GroupState.READY, servers.GroupState.OPEN, servers.GroupState.CLOSING)
+JOINED_STATES = (servers.GroupState.READY, servers.GroupState.OPEN, servers.GroupState.CLOSING)
 ACTIVE_STATES = (servers.GroupState.OPEN, servers.GroupState.CLOSING)
 
 
@@ -146,7 +146,7 @@
         missing = [member for member, state in states.items() if state is None]
         if missing:
             await self._join(group, missing)
-        elif all(state in JOINED for state in states.values()):
+        elif all(state in JOINED_STATES for state in states.values()):
             await self._open(group)
 
     async def _join(self, group: records.Group, missing: list[records.Member]) -> None:
@@ -182,7 +182,7 @@
 
     def _is_order_due(self, order_key: str) -> bool:
         now_s = trio.current_time()
-        if now_s - self._last_order_s.get(order_key, float("-inf")) < ORDER_AGAIN_S:
+        if now_s - self._last_order_s.get(order_key, float("-inf")) < ORDER_RETRY_S:
             return False
         self._last_order_s[order_key] = now_s
         return True
--- a/toucanhold/routing/candidates.py
+++ b/toucanhold/routing/candidates.py
@@ -212,15 +212,15 @@
     def _evaluate_unit(
         self, service: rules.Service, unit: _ServingUnit, now_s: float
     ) -> Candidate | None:
-        if unit.group is not None and not self._is_whole(unit.group, service, now_s):
+        if unit.group is not None and not self._is_group_complete(unit.group, service, now_s):
             return None
-        if not all(self._may_work(member, now_s) for member in unit.members):
+        if not all(self._is_usable(member, now_s) for member in unit.members):
             return None
         asked_at_s = min(self.view.observation(vm.vm).asked_at_s for vm in unit.members)
         report = self.view.observation(unit.head.vm).report
         return Candidate(unit.head, report, unit.group, asked_at_s + view.FRESH_S)
 
-    def _is_whole(self, group: plan.Group, service: rules.Service, now_s: float) -> bool:
+    def _is_group_complete(self, group: plan.Group, service: rules.Service, now_s: float) -> bool:
         # Neither the plan nor an order that was sent proves that a group exists; only fresh and
         # matching reports of all members do. Otherwise a group that lost a member, or that an
         # outdated planner's order split, would get requests that it cannot serve.
@@ -239,7 +239,7 @@
                 return False
         return True
 
-    def _may_work(self, vm: inventory.Vm, now_s: float) -> bool:
+    def _is_usable(self, vm: inventory.Vm, now_s: float) -> bool:
         zones_out = self.configuration.current.zones_out
         if vm.availability_zone in zones_out or self.view.is_leaving(vm.vm):
             return False
--- a/toucanhold/routing/capacity.py
+++ b/toucanhold/routing/capacity.py
@@ -168,7 +168,7 @@
     report = candidate.report
     if report.warmth is client.Warmth.COLD:
         bearable = service.cold_requests if report.bearable is None else report.bearable
-        return cold_policy.share(candidate.vm.vm, report.boot_id, bearable)
+        return cold_policy.request_limit(candidate.vm.vm, report.boot_id, bearable)
     return service.slots if report.slots is None else report.slots
 
 
--- a/toucanhold/routing/cold.py
+++ b/toucanhold/routing/cold.py
@@ -19,7 +19,7 @@
     """Limits this entry's work on cold backend servers."""
 
     @abc.abstractmethod
-    def share(self, vm: str, boot_id: str, bearable: int) -> int:
+    def request_limit(self, vm: str, boot_id: str, bearable: int) -> int:
         """Return how many requests this entry may have in flight on a cold boot of ``vm`` now.
 
         :param bearable: number of requests that the cold server can run at once, for all entries
@@ -34,7 +34,7 @@
 class UnsharedLimit(ColdPolicy):
     """The baseline: each entry uses the whole limit, regardless of other entries."""
 
-    def share(self, vm: str, boot_id: str, bearable: int) -> int:
+    def request_limit(self, vm: str, boot_id: str, bearable: int) -> int:
         """See :class:`ColdPolicy`."""
         return bearable
 
@@ -62,7 +62,7 @@
 
 
 @attrs.define(eq=False)
-class SlotShares(ColdPolicy):
+class SharedLimit(ColdPolicy):
     """Divides the limit of a cold boot among slots, each owned by one entry."""
 
     ownership: slots.SlotOwnership
@@ -73,7 +73,7 @@
         """Subscribe to the reports."""
         self.view.subscribe(self._on_report)
 
-    def share(self, vm: str, boot_id: str, bearable: int) -> int:
+    def request_limit(self, vm: str, boot_id: str, bearable: int) -> int:
         """See :class:`ColdPolicy`."""
         boot = self._boots.get(vm)
         if boot is None or boot.boot_id != boot_id:
--- a/toucanhold/routing/router.py
+++ b/toucanhold/routing/router.py
@@ -91,9 +91,9 @@
     leased = _leased_slots(dependencies)
     in_flight = capacity.InFlight()
     finder = _finder(dependencies)
-    shares = cold.SlotShares(leased, dependencies.view)
+    shared_limit = cold.SharedLimit(leased, dependencies.view)
     capacity_policy = capacity.EstimatedCapacity(
-        in_flight, shares, dependencies.view, lambda: len(dependencies.serving_entries())
+        in_flight, shared_limit, dependencies.view, lambda: len(dependencies.serving_entries())
     )
     isolations = isolation.Isolations(dependencies.exchange)
     usable = isolation.IsolatingCapacity(capacity_policy, isolations)
@@ -105,7 +105,7 @@
         policy,
         in_flight,
         usable,
-        shares,
+        shared_limit,
         dependencies.max_in_flight,
     )
     tracker = incidents.IncidentTracker(
@@ -115,7 +115,7 @@
         in_flight,
     )
     admission_policy = isolation.IsolatingAdmission(
-        queue, finder, in_flight, capacity_policy, shares, tracker, isolations
+        queue, finder, in_flight, capacity_policy, shared_limit, tracker, isolations
     )
     dispatcher = dispatch.Dispatcher(
         admission_policy,
@@ -123,7 +123,9 @@
         incidents.TrackingBackends(dependencies.backends, tracker),
         watchdog.Watchdog(dependencies.view),
     )
-    return Router(leased, in_flight, finder, shares, usable, policy, queue, dispatcher, tracker)
+    return Router(
+        leased, in_flight, finder, shared_limit, usable, policy, queue, dispatcher, tracker
+    )
 
 
 def build_baseline(dependencies: RouterDependencies) -> Router:
