--- a/toucanhold/orders/claimed.py
+++ b/toucanhold/orders/claimed.py
@@ -58,7 +58,7 @@
         existing = self._orders.get(key)
         if existing is not None:
             return self._repeat_result(existing, fingerprint)
-        if self.runner.count >= MAX_UNSETTLED:
+        if self.runner.pending_count >= MAX_UNSETTLED:
             # Outcomes that cannot be stored yet are held in memory; the limit bounds that memory.
             detail = f"{MAX_UNSETTLED} orders wait for their outcome to be stored"
             return results.refusal(requests.Problem.OVERLOADED, detail, BUSY_RETRY_AFTER_S)
--- a/toucanhold/orders/running.py
+++ b/toucanhold/orders/running.py
@@ -25,11 +25,11 @@
     """Runs the tasks of orders; an order continues when its caller disconnects.
 
     :ivar serve: sends a request to one backend server
-    :ivar count: number of orders that are running or whose outcome is not stored yet
+    :ivar pending_count: number of orders that are running or whose outcome is not stored yet
     """
 
     serve: ServeRequest
-    count: int = attrs.field(default=0, init=False)
+    pending_count: int = attrs.field(default=0, init=False)
     _order_ended: trio.Event = attrs.field(factory=trio.Event, init=False)
     _nursery: trio.Nursery | None = attrs.field(default=None, init=False)
 
@@ -46,9 +46,9 @@
         :return: number of orders whose outcome is not stored
         """
         with trio.move_on_after(timeout_s):
-            while self.count:
+            while self.pending_count:
                 await self._order_ended.wait()
-        return self.count
+        return self.pending_count
 
     async def run_detached(
         self, task: OrderTask, request: requests.CallerRequest, *args: object
@@ -82,7 +82,7 @@
         future: results.ResultFuture,
         *args: object,
     ) -> None:
-        self.count += 1
+        self.pending_count += 1
         try:
             await task(request, future, *args)
         except Exception as error:
@@ -91,6 +91,6 @@
             LOGGER.exception("request %s: the task of the order failed", request.request_id)
             future.set_result(results.outcome_unknown(f"internal error: {error!r}"))
         finally:
-            self.count -= 1
+            self.pending_count -= 1
             self._order_ended.set()
             self._order_ended = trio.Event()
