--- a/toucanhold/peers/streams.py
+++ b/toucanhold/peers/streams.py
@@ -34,12 +34,12 @@
 class _Link:
     """An authenticated stream to a peer.
 
-    :ivar dialled: whether this entry opened the stream
+    :ivar is_dialler: whether this entry opened the stream
     :ivar scope: cancelled to close the stream
     """
 
     peer: handshake.Identity
-    dialled: bool
+    is_dialler: bool
     frames: frames.FrameStream
     scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
     outbox: exchange.Outbox = attrs.field(factory=exchange.Outbox)
@@ -115,7 +115,7 @@
             LOGGER.debug("cannot connect to the peer at %s: %s", address, error)
             return False
         async with stream:
-            link = await self._authenticate(stream, handshake.run_as_dialler, is_dialled=True)
+            link = await self._authenticate(stream, handshake.run_as_dialler, is_dialler=True)
             if link is None:
                 return False
             self._entry_by_address[address] = link.peer.entry
@@ -128,28 +128,28 @@
                 return
             self._handshake_count += 1
             try:
-                link = await self._authenticate(stream, handshake.run_as_listener, is_dialled=False)
+                link = await self._authenticate(stream, handshake.run_as_listener, is_dialler=False)
             finally:
                 self._handshake_count -= 1
             if link is not None:
                 await self._run_link(link)
 
     async def _authenticate(
-        self, stream: trio.abc.Stream, run_handshake, is_dialled: bool
+        self, stream: trio.abc.Stream, run_handshake, is_dialler: bool
     ) -> _Link | None:
         frame_stream = frames.FrameStream(stream, handshake.HANDSHAKE_FRAME_LIMIT_BYTES)
         try:
             with trio.fail_after(HANDSHAKE_TIMEOUT_S):
                 peer = await run_handshake(frame_stream, self.own, self.keys)
         except handshake.HandshakeError as error:
-            events.log(LOGGER, events.Event.PEER_REFUSED, reason=str(error), dialled=is_dialled)
+            events.log(LOGGER, events.Event.PEER_REFUSED, reason=str(error), dialled=is_dialler)
             return None
         except (frames.FrameError, trio.TooSlowError) as error:
             LOGGER.debug("the handshake with a peer failed: %r", error)
             return None
         frame_stream.max_body_bytes = FRAME_LIMIT_BYTES
         frame_stream.idle_timeout_s = HEARTBEAT_TIMEOUT_S
-        return _Link(peer, is_dialled, frame_stream)
+        return _Link(peer, is_dialler, frame_stream)
 
     async def _run_link(self, link: _Link) -> bool:
         """Run a stream until it ends; return false if an existing stream is kept instead."""
@@ -162,7 +162,7 @@
         if existing is not None:
             existing.scope.cancel()
         self._links[peer_name] = link
-        events.log(LOGGER, events.Event.PEER_CONNECTED, peer=peer_name, dialled=link.dialled)
+        events.log(LOGGER, events.Event.PEER_CONNECTED, peer=peer_name, dialled=link.is_dialler)
         try:
             reason = await self._run_tasks(link)
         finally:
@@ -181,9 +181,9 @@
         # know who dialled, so both keep the stream dialled by the entry with the smaller name. A
         # new process of the peer, or a second dial by the same entry, means that the existing
         # stream is dead.
-        if link.peer.boot != existing.peer.boot or link.dialled == existing.dialled:
+        if link.peer.boot != existing.peer.boot or link.is_dialler == existing.is_dialler:
             return True
-        return link.dialled == (self.own.entry < link.peer.entry)
+        return link.is_dialler == (self.own.entry < link.peer.entry)
 
     async def _run_tasks(self, link: _Link) -> str:
         end_reasons: list[str] = []
