--- a/standins/planners.py
+++ b/standins/planners.py
@@ -26,7 +26,7 @@
     name: str
     configuration: holder.ConfigurationHolder
     plans: plan.PlanHolder
-    view: view.View
+    view: view.BackendView
     poller: poller.Poller
     follower: following.PrefixFollower
     lease: lease.LeasedKey
@@ -71,7 +71,7 @@
     rng = random.Random(f"{seed}:{name}")
     store = platform.client(name)
     known = holder.ConfigurationHolder(configuration)
-    plans, seen, backends = plan.PlanHolder(), view.View(), engines.seen_from()
+    plans, seen, backends = plan.PlanHolder(), view.BackendView(), engines.seen_from()
     held = lease.LeasedKey(store, planner.PLANNER_KEY, name.encode(), LEASE_TTL_S, rng)
     own = planner.Planner(
         known, plans, seen, policy, store, backends, held, name, f"{name}:1", probe or _NO_PROBE
--- a/standins/routers.py
+++ b/standins/routers.py
@@ -30,7 +30,7 @@
 
     name: str
     router: router.Router
-    view: view.View
+    view: view.BackendView
     backends: backends.MemoryBackends
     _scopes: list[trio.CancelScope] = attrs.field(factory=list)
 
@@ -73,7 +73,7 @@
     def add_entry(self, name: str) -> Entry:
         """Start an entry."""
         rng = random.Random(f"{self.seed}:{name}")
-        seen = view.View()
+        seen = view.BackendView()
         clients = backends.MemoryBackends(
             {server.vm + ":1": server for server in self.servers}, self.nursery, self.tokens
         )
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -45,7 +45,7 @@
 def policy(in_flight, entries=1, seen=None):
     """Return the default policy."""
     limits = capacity.EstimatedCapacity(
-        in_flight, cold.UnsharedLimit(), seen or view.View(), lambda: entries
+        in_flight, cold.UnsharedLimit(), seen or view.BackendView(), lambda: entries
     )
     return choice.TwoChoices(limits, random.Random(1), "zone-a")
 
@@ -106,7 +106,7 @@
 class EstimateTest(unittest.TestCase):
     def test_own_requests_are_not_counted_twice(self):
         # Four of the five requests in the report are this entry's own and still run.
-        seen, in_flight = view.View(), capacity.InFlight()
+        seen, in_flight = view.BackendView(), capacity.InFlight()
         limits = capacity.EstimatedCapacity(in_flight, cold.UnsharedLimit(), seen, lambda: 1)
         for _ in range(4):
             in_flight.add("vm-0")
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -151,7 +151,7 @@
         _server_dies_with_order,
         (rules.Service, "may_repeat", lambda *_: True),
     ),
-    promises.leaving_servers: (_server_leaves, (view.View, "is_leaving", lambda *_: False)),
+    promises.leaving_servers: (_server_leaves, (view.BackendView, "is_leaving", lambda *_: False)),
     promises.graceful_stops: (_entry_stops, (entry.EntryApplication, "stop", _stop_at_once)),
     promises.configurations: (
         _late_message,
--- a/tests/test_planner_peers.py
+++ b/tests/test_planner_peers.py
@@ -25,7 +25,7 @@
 
     def test_departure_observed_by_one_entry_ends_the_generation_on_the_other(self):
         near, far = self._connected_pair()
-        views = view.View(), view.View()
+        views = view.BackendView(), view.BackendView()
         peering.GenerationEndBroadcaster(near, views[0])
         peering.GenerationEndBroadcaster(far, views[1])
         views[0].record_report("vm", client.Report("vm", "1", group="g/1", generation=1), 1.0)
--- a/tools/capacity/state.py
+++ b/tools/capacity/state.py
@@ -119,7 +119,7 @@
 
 def report_ms(vms: int) -> float:
     """Processor time to decode and take in one report of every VM."""
-    seen = view.View()
+    seen = view.BackendView()
     bodies = [codec.to_json(sample_report(number)) for number in range(vms)]
     moment = iter(range(1_000_000))
 
@@ -155,8 +155,8 @@
 )
 
 
-def _filled_view(vms: int) -> view.View:
-    seen = view.View()
+def _filled_view(vms: int) -> view.BackendView:
+    seen = view.BackendView()
     for number in range(vms):
         body = codec.to_json(sample_report(number))
         seen.record_report(f"vm-{number:05d}", codec.from_json(body, client.Report), 1.0)
--- a/tools/measure/placement.py
+++ b/tools/measure/placement.py
@@ -83,7 +83,7 @@
 
 def _facts_s(configuration, placed: placement.Placement) -> float:
     async def gather() -> float:
-        plans, seen = plan.PlanHolder(), view.View()
+        plans, seen = plan.PlanHolder(), view.BackendView()
         for revision, each in enumerate(placed.changed, 1):
             plans.apply(plan.VersionedDomainPlan(each, revision))
         for vm in configuration.inventory.vms:
--- a/tools/measure/routing.py
+++ b/tools/measure/routing.py
@@ -220,5 +220,5 @@
     return spent_s / DECISIONS * 1e6
 
 
-def _record(seen: view.View, report: client.Report, asked_at_s: float) -> None:
+def _record(seen: view.BackendView, report: client.Report, asked_at_s: float) -> None:
     seen.record_report(report.vm, report, asked_at_s)
--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -63,7 +63,7 @@
         self.store = store.ConfigurationStore(self.platform)
         self.reader = reading.ConfigurationReader(self.store, self.configuration)
         self.plans = plan.PlanHolder()
-        self.view = view.View()
+        self.view = view.BackendView()
         self.poller = poller.Poller(self.configuration, self.backends, self.view, self.rng)
         self._build_membership()
         self._build_peers()
--- a/toucanhold/observing/poller.py
+++ b/toucanhold/observing/poller.py
@@ -20,7 +20,7 @@
 
     configuration: holder.ConfigurationHolder
     backends: client.BackendClient
-    view: view.View
+    view: view.BackendView
     rng: random.Random
     _poll_scopes: dict[inventory.Vm, trio.CancelScope] = attrs.field(factory=dict, init=False)
 
--- a/toucanhold/observing/view.py
+++ b/toucanhold/observing/view.py
@@ -28,7 +28,7 @@
 
 
 @attrs.define(eq=False)
-class View:
+class BackendView:
     """This entry's observations by VM; they are kept in memory only.
 
     :ivar platform_leaving: VMs that the platform lists as leaving
--- a/toucanhold/operators/status.py
+++ b/toucanhold/operators/status.py
@@ -23,7 +23,7 @@
     facts: facts.FactTable
     configuration: holder.ConfigurationHolder
     plans: plan.PlanHolder
-    view: view.View
+    view: view.BackendView
     finder: candidates.CandidateFinder
     planner: planner.Planner
     follower: following.PrefixFollower
--- a/toucanhold/planning/input_building.py
+++ b/toucanhold/planning/input_building.py
@@ -21,7 +21,7 @@
 
     configuration: holder.ConfigurationHolder
     plans: plan.PlanHolder
-    view: view.View
+    view: view.BackendView
     _usable_vms: frozenset[str] = attrs.field(default=frozenset(), init=False)
     _usable_since_s: float = attrs.field(default=float("-inf"), init=False)
 
--- a/toucanhold/planning/order_scheduling.py
+++ b/toucanhold/planning/order_scheduling.py
@@ -59,7 +59,7 @@
 
     configuration: holder.ConfigurationHolder
     plans: plan.PlanHolder
-    view: view.View
+    view: view.BackendView
     term_log: terms.TermLog
     _sent: dict[str, SentOrder] = attrs.field(factory=dict, init=False)
     _unplanned_since_s: dict[tuple[str, int], float] = attrs.field(factory=dict, init=False)
--- a/toucanhold/planning/peering.py
+++ b/toucanhold/planning/peering.py
@@ -18,7 +18,7 @@
 
     # Otherwise each entry would keep routing requests to a broken group until its own next poll.
     exchange: exchange.Exchange
-    view: view.View
+    view: view.BackendView
 
     def __attrs_post_init__(self) -> None:
         """Subscribe to ends observed here and to those reported by peers."""
--- a/toucanhold/planning/planner.py
+++ b/toucanhold/planning/planner.py
@@ -42,7 +42,7 @@
 
     configuration: holder.ConfigurationHolder
     plans: plan.PlanHolder
-    view: view.View
+    view: view.BackendView
     policy: placement.PlacementPolicy
     store: keyvalue.KeyValueClient
     backends: client.BackendClient
--- a/toucanhold/routing/candidates.py
+++ b/toucanhold/routing/candidates.py
@@ -109,7 +109,7 @@
 
     configuration: holder.ConfigurationHolder
     plans: plan.PlanHolder
-    view: view.View
+    view: view.BackendView
     may_start: collections.abc.Callable[[], bool] = lambda: True
     _basis: _Basis | None = attrs.field(default=None, init=False)
     _services: dict[str, _ServiceState] = attrs.field(factory=dict, init=False)
--- a/toucanhold/routing/capacity.py
+++ b/toucanhold/routing/capacity.py
@@ -85,7 +85,7 @@
 
     in_flight: InFlight
     cold: cold.ColdPolicy
-    view: view.View
+    view: view.BackendView
     count_entries: collections.abc.Callable[[], int]
     _snapshots: dict[str, _ReportSnapshot] = attrs.field(factory=dict, init=False)
     _own_total: int = attrs.field(default=0, init=False)
--- a/toucanhold/routing/cold.py
+++ b/toucanhold/routing/cold.py
@@ -66,7 +66,7 @@
     """Divides the limit of a cold boot among slots, each owned by one entry."""
 
     ownership: slots.SlotOwnership
-    view: view.View
+    view: view.BackendView
     _boots: dict[str, _BootState] = attrs.field(factory=dict, init=False)
 
     def __attrs_post_init__(self) -> None:
--- a/toucanhold/routing/failures.py
+++ b/toucanhold/routing/failures.py
@@ -40,7 +40,7 @@
 class FailureDetector:
     """Decides by the reports after a lost connection whether the backend server failed."""
 
-    view: view.View
+    view: view.BackendView
     plans: plan.PlanHolder
     _boots: dict[str, str] = attrs.field(factory=dict, init=False)
     _unreachable: set[str] = attrs.field(factory=set, init=False)
--- a/toucanhold/routing/fairqueue.py
+++ b/toucanhold/routing/fairqueue.py
@@ -59,7 +59,7 @@
 
     configuration: holder.ConfigurationHolder
     finder: candidates.CandidateFinder
-    view: view.View
+    view: view.BackendView
     policy: choice.ChoicePolicy
     in_flight: capacity.InFlight
     capacity: capacity.CapacityPolicy
--- a/toucanhold/routing/incidents.py
+++ b/toucanhold/routing/incidents.py
@@ -43,7 +43,7 @@
 
     table: suspects.SuspectTable
     failure_detector: failures.FailureDetector
-    view: view.View
+    view: view.BackendView
     in_flight: capacity.InFlight
     _placed: dict[str, TrackedRequest] = attrs.field(factory=dict, init=False)
     _lost: dict[str, TrackedRequest] = attrs.field(factory=dict, init=False)
--- a/toucanhold/routing/router.py
+++ b/toucanhold/routing/router.py
@@ -46,7 +46,7 @@
     availability_zone: str
     configuration: holder.ConfigurationHolder
     plans: plan.PlanHolder
-    view: view.View
+    view: view.BackendView
     platform: keyvalue.KeyValueClient
     backends: client.BackendClient
     serving_entries: collections.abc.Callable[[], collections.abc.Sequence[str]]
--- a/toucanhold/routing/watchdog.py
+++ b/toucanhold/routing/watchdog.py
@@ -28,7 +28,7 @@
 class Watchdog:
     """Monitors all attempts of idempotent requests in one task."""
 
-    view: view.View
+    view: view.BackendView
     stall_timeout_s: float = STALL_TIMEOUT_S
     _attempts: set[WatchedAttempt] = attrs.field(factory=set)
 
