--- a/tests/test_order_keys.py
+++ b/tests/test_order_keys.py
@@ -51,7 +51,7 @@
             key = a.issue()
             await a.order(order_fakes.new_request(key))
             a.kill()
-            b.keeper.issued.roster.forget("a")
+            b.keeper.issued.roster.remove("a")
             restarted = order_fakes.new_entry("a", store, sender)
             for entry in (b, restarted):
                 answer = await entry.order(order_fakes.new_request(key))
@@ -69,7 +69,7 @@
                 await a.order(order_fakes.new_request(key))
             self.assertEqual(0, await a.keeper.drain(timeout_s=30))
             a.kill()
-            b.keeper.issued.roster.forget("a")
+            b.keeper.issued.roster.remove("a")
             for key in used:
                 answer = await b.order(order_fakes.new_request(key))
                 self.assertEqual((200, "ran", b"done"), answer)
--- a/tools/measure/orders.py
+++ b/tools/measure/orders.py
@@ -244,7 +244,7 @@
             victim.kill()
             name = victim.keeper.issued.roster.own.entry
             for other in site.entries:
-                other.keeper.issued.roster.forget(name)
+                other.keeper.issued.roster.remove(name)
             await site.add(name)
     site.store.faults.clear()
 
--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -335,5 +335,5 @@
         for fact in self.facts.others():
             entry = fact.member.entry
             if entry not in connected and not self.roster.is_listed(entry):
-                self.facts.forget(entry)
-                self.roster.forget(entry)
+                self.facts.remove(entry)
+                self.roster.remove(entry)
--- a/toucanhold/membership/facts.py
+++ b/toucanhold/membership/facts.py
@@ -81,7 +81,7 @@
         self._mark_changed(entry)
         return True
 
-    def forget(self, entry: str) -> None:
+    def remove(self, entry: str) -> None:
         """Remove an entry that has ended."""
         self._facts.pop(entry, None)
         self._change_numbers.pop(entry, None)
--- a/toucanhold/membership/roster.py
+++ b/toucanhold/membership/roster.py
@@ -92,7 +92,7 @@
         if member.entry != self.own.entry:
             self._peer_members[member.entry] = member
 
-    def forget(self, entry: str) -> None:
+    def remove(self, entry: str) -> None:
         """Remove the record from peers of an entry that has ended."""
         self._peer_members.pop(entry, None)
 
--- a/toucanhold/observing/poller.py
+++ b/toucanhold/observing/poller.py
@@ -35,7 +35,7 @@
         listed_vms = set(self.configuration.current.inventory.vms)
         for vm in set(self._poll_scopes) - listed_vms:
             self._poll_scopes.pop(vm).cancel()
-            self.view.forget(vm.vm)
+            self.view.remove(vm.vm)
         for vm in listed_vms - set(self._poll_scopes):
             self._poll_scopes[vm] = trio.CancelScope()
             nursery.start_soon(self._poll, vm, self._poll_scopes[vm])
--- a/toucanhold/observing/view.py
+++ b/toucanhold/observing/view.py
@@ -101,7 +101,7 @@
         self._refusals[vm] = self._refusals.get(vm, 0) + 1
         self.record_failure(vm, now_s, reason)
 
-    def forget(self, vm: str) -> None:
+    def remove(self, vm: str) -> None:
         """Remove a VM that is no longer in the inventory."""
         self._observations.pop(vm, None)
         self._failing_since_s.pop(vm, None)
--- a/toucanhold/orders/claimed.py
+++ b/toucanhold/orders/claimed.py
@@ -90,9 +90,9 @@
             if claim is not None:
                 await self._run_claimed(request, future, order, claim)
         finally:
-            self._forget(order)
+            self._remove(order)
 
-    def _forget(self, order: _ClaimedOrder) -> None:
+    def _remove(self, order: _ClaimedOrder) -> None:
         if self._orders.get(order.key) is order:
             del self._orders[order.key]
 
@@ -104,7 +104,7 @@
         except claims.ClaimUnavailableError as error:
             detail = f"this sending did not run; repeat it with the same key: {error}"
             # A repeat may claim the key again at once. A claim that may exist is still deleted.
-            self._forget(order)
+            self._remove(order)
             future.set_result(
                 results.refusal(requests.Problem.CLAIM_UNAVAILABLE, detail, error.retry_after_s)
             )
--- a/toucanhold/orders/issued.py
+++ b/toucanhold/orders/issued.py
@@ -86,7 +86,7 @@
         own = self.roster.own
         if (key.entry, key.boot) != (own.entry, own.boot):
             return await self._result_elsewhere(request, key)
-        self._forget_expired()
+        self._evict_expired()
         claim_key, fingerprint = records.claim_key(request), records.order_fingerprint(request)
         used = self._used_keys.get(claim_key)
         if used is not None:
@@ -172,7 +172,7 @@
         self._kept_body_bytes += size_bytes
         return record
 
-    def _forget_expired(self) -> None:
+    def _evict_expired(self) -> None:
         now_s = trio.current_time()
         while self._by_expiry and self._by_expiry[0][0] <= now_s:
             used = heapq.heappop(self._by_expiry)[2]
--- a/toucanhold/plans/plan.py
+++ b/toucanhold/plans/plan.py
@@ -175,7 +175,7 @@
         if versioned.revision <= old.revision:
             return False
         self._domains[versioned.plan.domain] = versioned
-        self._keep_former(old.plan, versioned.plan)
+        self._retain_former(old.plan, versioned.plan)
         self._notify_changed()
         return True
 
@@ -188,7 +188,7 @@
         """Return after the next change."""
         await self._changed.wait()
 
-    def _keep_former(self, old: DomainPlan, new: DomainPlan) -> None:
+    def _retain_former(self, old: DomainPlan, new: DomainPlan) -> None:
         planned_keys = {group.generation_key for group in new.groups}
         for group in old.groups:
             if group.generation_key not in planned_keys:
--- a/toucanhold/registry/registry.py
+++ b/toucanhold/registry/registry.py
@@ -80,7 +80,7 @@
         if server.server_id in self.lapsed:
             self.lapsed[server.server_id] = server
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Drop a lapsed server, as it is dead or registered again."""
         self.lapsed.pop(name, None)
         self._lapsed_at_s.pop(name, None)
@@ -92,7 +92,7 @@
             self._drop_missing()
             oldest_s = trio.current_time() - LAPSED_RETENTION_S
             for name in [name for name, since_s in self._lapsed_at_s.items() if since_s < oldest_s]:
-                self.forget(name)
+                self.remove(name)
 
     def _apply_changes(self, keys: frozenset[str]) -> None:
         for key in keys:
@@ -126,7 +126,7 @@
                 revision=item.mod_revision,
             )
         self.servers[name] = server
-        self.forget(name)
+        self.remove(name)
 
     def _drop_missing(self) -> None:
         if not self._missing_since_s or not self._may_drop():
--- a/toucanhold/replicas/probing.py
+++ b/toucanhold/replicas/probing.py
@@ -81,7 +81,7 @@
         if report is not None:
             self.server_registry.update_lapsed(report)
         elif not self.order_sender.reachability.is_partitioned(server.zone):
-            self.server_registry.forget(server.server_id)
+            self.server_registry.remove(server.server_id)
             self.on_dead()
 
     def _witnesses(self, probed: list[servers.Server]) -> list[servers.Server]:
