--- a/toucanhold/coordination/rate_limit.py
+++ b/toucanhold/coordination/rate_limit.py
@@ -66,19 +66,19 @@
 
     async def grant_lease(self, ttl_s: int) -> int:
         """See :class:`keyvalue.KeyValueClient`."""
-        self._take_token("lease")
+        self._acquire_token("lease")
         return await self.inner.grant_lease(ttl_s)
 
     async def keep_alive(self, lease: int) -> bool:
         """See :class:`keyvalue.KeyValueClient`."""
         # Never delayed: a renewal that waits behind orders would cost the planner its lease and the
         # entry its place in the directory, and acquiring them again takes more calls.
-        self._take_token("lease")
+        self._acquire_token("lease")
         return await self.inner.keep_alive(lease)
 
     async def revoke_lease(self, lease: int) -> None:
         """See :class:`keyvalue.KeyValueClient`."""
-        self._take_token("lease")
+        self._acquire_token("lease")
         await self.inner.revoke_lease(lease)
 
     @contextlib.asynccontextmanager
@@ -99,11 +99,11 @@
                 f"rate limit of {self.rate_per_s} calls/s exceeded: would wait {wait_s:.2f} s"
             )
         # The token is taken before the wait, so that later calls wait for later tokens.
-        self._take_token(kind)
+        self._acquire_token(kind)
         if wait_s:
             await trio.sleep(wait_s)
 
-    def _take_token(self, kind: str) -> None:
+    def _acquire_token(self, kind: str) -> None:
         self._refill()
         self._tokens -= 1
         self.calls[kind] += 1
--- a/toucanhold/logs.py
+++ b/toucanhold/logs.py
@@ -83,7 +83,7 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Queue a line, or count it as dropped."""
-        if not self._take_token(record):
+        if not self._acquire_token(record):
             self.dropped += 1
             return
         if self.dropped and self._may_report_dropped():
@@ -104,7 +104,7 @@
             self._thread.join(FLUSH_TIMEOUT_S)
         super().close()
 
-    def _take_token(self, record: logging.LogRecord) -> bool:
+    def _acquire_token(self, record: logging.LogRecord) -> bool:
         now_s = time.monotonic()
         refilled = self._tokens + (now_s - self._refilled_at_s) * self._max_lines_per_s
         self._tokens = min(self._max_lines_per_s, refilled)
--- a/toucanhold/orders/claims.py
+++ b/toucanhold/orders/claims.py
@@ -70,7 +70,7 @@
             raise ClaimUnavailableError(
                 f"{MAX_ABANDONED} abandoned claims are not deleted yet", False, MAX_BACKOFF_S
             )
-        if not self.leases.has_room():
+        if not self.leases.has_capacity():
             raise ClaimUnavailableError(
                 "this entry's share of stored claims is used up", False, FULL_RETRY_AFTER_S
             )
--- a/toucanhold/orders/leases.py
+++ b/toucanhold/orders/leases.py
@@ -48,7 +48,7 @@
                 self._granted_at_s = now_s
             return self._lease
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Return whether one more claim may be stored."""
         # The write rate allows tens of millions of claims a day, more than the service can hold.
         # A full service would fail for all its uses, including the plan.
--- a/toucanhold/planning/placement.py
+++ b/toucanhold/planning/placement.py
@@ -61,7 +61,7 @@
                 return f"{member} is gone or leaves"
             if self.has_left(member, group):
                 return f"{member} restarted or left the group"
-            if is_out(member, self):
+            if is_unavailable(member, self):
                 return f"the availability zone of {member} is out"
         if group.generation_key in self.ended:
             return "a member was seen to leave"
@@ -80,7 +80,9 @@
             for each in planned.groups
             if each.service == group.service and not self.is_broken(each)
         ]
-        serving = [each for each in unbroken if not any(is_out(vm, self) for vm in each.members)]
+        serving = [
+            each for each in unbroken if not any(is_unavailable(vm, self) for vm in each.members)
+        ]
         if len(serving) < wanted:
             return f"{len(serving)} of {wanted} replicas were planned"
         if service and any(not is_current(each, service) for each in serving):
@@ -151,7 +153,7 @@
                 group.service == service.name for groups in kept.values() for group in groups
             )
             while placed_count < service.replicas:
-                domain = _domain_with_room(service, free)
+                domain = _domain_with_capacity(service, free)
                 if domain is None:
                     shortfalls.append(Shortfall(service.name, service.replicas, placed_count))
                     break
@@ -229,7 +231,7 @@
         and len(group.members) == service.vms_per_replica
         and is_current(group, service)
         and not inputs.is_broken(group)
-        and not any(is_out(member, inputs) for member in group.members)
+        and not any(is_unavailable(member, inputs) for member in group.members)
     )
 
 
@@ -238,7 +240,7 @@
     return (group.model, group.version) in (("", ""), (service.model, service.version))
 
 
-def is_out(member: str, inputs: PlacementInput) -> bool:
+def is_unavailable(member: str, inputs: PlacementInput) -> bool:
     """Return whether a VM is missing from the inventory or its availability zone is out."""
     vm = inputs.vms.get(member)
     return vm is None or vm.availability_zone in inputs.configuration.zones_out
@@ -258,7 +260,7 @@
     return remaining
 
 
-def _domain_with_room(
+def _domain_with_capacity(
     service: rules.Service, free: collections.abc.Mapping[str, list[inventory.Vm]]
 ) -> str | None:
     for domain in sorted(free):
--- a/toucanhold/planning/placement_state.py
+++ b/toucanhold/planning/placement_state.py
@@ -191,7 +191,7 @@
             if inputs.is_broken(group):
                 state.survivors.update(group.members)
                 continue
-            if any(placement.is_out(member, inputs) for member in group.members):
+            if any(placement.is_unavailable(member, inputs) for member in group.members):
                 if placement.is_current(group, service) and _all_in_inventory(group, inputs):
                     state.suspended.setdefault(domain, []).append(group)
                 continue
--- a/toucanhold/routing/budget.py
+++ b/toucanhold/routing/budget.py
@@ -16,7 +16,7 @@
         """Add the tokens that a first attempt earns."""
         self._tokens = min(MAX_RETRY_TOKENS, self._tokens + TOKENS_PER_REQUEST)
 
-    def try_spend(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take one token for a retry; return False if there is none."""
         # When every backend server fails, retries would multiply the load that made them fail.
         if self._tokens < 1:
--- a/toucanhold/routing/dispatch.py
+++ b/toucanhold/routing/dispatch.py
@@ -119,7 +119,7 @@
         min_duration_s = self.admission.expected_duration_s(request) / 2
         if not failure.has_begun and trio.current_time() + min_duration_s >= request.deadline_s:
             return "another attempt cannot meet the deadline"
-        if not self.retry_budget.try_spend():
+        if not self.retry_budget.try_acquire():
             return "the retry budget is empty"
         return ""
 
