--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -52,7 +52,7 @@
 
 class TwoChoicesTest(unittest.TestCase):
     def test_prefix_stays_on_one_server_until_its_load_exceeds_the_others(self):
-        in_flight, options = capacity.InFlight(), candidate_set(10)
+        in_flight, options = capacity.InFlightCounts(), candidate_set(10)
         chooser = policy(in_flight)
         chosen = {chooser.choose(Request(prefix=99), options).vm.vm for _ in range(50)}
         self.assertEqual(1, len(chosen))
@@ -63,7 +63,7 @@
         self.assertLessEqual(max(counts), 8)
 
     def test_prefixes_spread_over_servers_and_stay_when_another_server_leaves(self):
-        chooser, ten, nine = policy(capacity.InFlight()), candidate_set(10), candidate_set(9)
+        chooser, ten, nine = policy(capacity.InFlightCounts()), candidate_set(10), candidate_set(9)
         before = {key: chooser.choose(Request(prefix=key), ten).vm.vm for key in _keys()}
         smaller = candidates.CandidateSet(nine.options, nine.by_vm, 2)
         after = {key: chooser.choose(Request(prefix=key), smaller).vm.vm for key in _keys()}
@@ -72,7 +72,7 @@
         self.assertEqual(0, moved)
 
     def test_returns_none_when_all_servers_are_full(self):
-        in_flight, options = capacity.InFlight(), candidate_set(3)
+        in_flight, options = capacity.InFlightCounts(), candidate_set(3)
         for each in options:
             for _ in range(8):
                 in_flight.add(each.vm.vm)
@@ -80,7 +80,7 @@
 
     def test_own_zone_is_preferred_at_equal_load(self):
         options = candidate_set(30, ("zone-a", "zone-b", "zone-c"))
-        chooser = policy(capacity.InFlight())
+        chooser = policy(capacity.InFlightCounts())
         zones = collections.Counter(
             chooser.choose(Request(), options).vm.availability_zone for _ in range(600)
         )
@@ -106,7 +106,7 @@
 class EstimateTest(unittest.TestCase):
     def test_own_requests_are_not_counted_twice(self):
         # Four of the five requests in the report are this entry's own and still run.
-        seen, in_flight = view.BackendView(), capacity.InFlight()
+        seen, in_flight = view.BackendView(), capacity.InFlightCounts()
         limits = capacity.EstimatedCapacity(in_flight, cold.UnsharedLimit(), seen, lambda: 1)
         for _ in range(4):
             in_flight.add("vm-0")
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -42,9 +42,9 @@
 
 def connect(fleet, entry):
     """Connect an entry to all other entries of the fleet."""
-    own = entry.router.tracker.table.exchange
+    own = entry.router.tracker.suspect_table.exchange
     for other in fleet.entries.values():
-        theirs = other.router.tracker.table.exchange
+        theirs = other.router.tracker.suspect_table.exchange
         if other is not entry and entry.name not in theirs.connected():
             _pipe(fleet, own, entry.name, theirs, other.name)
             _pipe(fleet, theirs, other.name, own, entry.name)
@@ -174,7 +174,7 @@
             self.assertEqual("refused-for-good", outcomes.pop(CRASHER)[0])
             self.assertEqual({("whole", "ran")}, set(outcomes.values()))
             self.assertEqual(2, restarts(servers))
-            table = entry.router.tracker.table
+            table = entry.router.tracker.suspect_table
             self.assertEqual(1, len(table._suspects))
 
     def test_domain_failure_quarantines_no_request(self):
@@ -207,7 +207,7 @@
                 await trio.sleep(5)
             self.assertEqual({("whole", "ran")}, set(outcomes))
             for entry in fleet.entries.values():
-                table = entry.router.tracker.table
+                table = entry.router.tracker.suspect_table
                 self.assertFalse([each for each in table._suspects if table.is_quarantined(each)])
 
     def test_broken_connection_to_a_live_server_is_no_failure(self):
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -38,7 +38,7 @@
         self.group_table = records.GroupTable(self.kv_mirror)
         self.closed_zones = set()
         cold = budget.ColdBudget(1.5, 5, gateways.FixedList(gateways.new_entry("e1")))
-        self.targets = targets.ServerSelector(
+        self.server_selector = targets.ServerSelector(
             server_registry,
             self.group_table,
             load.LoadTracker(),
@@ -61,7 +61,9 @@
         self.group_table.put(records.Group(record, epoch, epoch))
 
     def _candidate_ids(self):
-        return [server.server_id for server in self.targets.find_candidates(SERVICE, "large")]
+        return [
+            server.server_id for server in self.server_selector.find_candidates(SERVICE, "large")
+        ]
 
     @clocked.on_test_clock
     async def test_changes_of_heads_groups_and_zones_apply_immediately(self):
--- a/toucanhold/gateway/admission.py
+++ b/toucanhold/gateway/admission.py
@@ -48,10 +48,10 @@
 class Admission:
     """Places requests on servers and queues those for which no server has capacity.
 
-    :ivar targets: selects servers and tracks their load
+    :ivar server_selector: selects servers and tracks their load
     """
 
-    targets: targets.ServerSelector
+    server_selector: targets.ServerSelector
     _queue: list[tuple[int, int, _Waiter]] = attrs.field(factory=list, init=False)
     _queue_filled: trio.Event = attrs.field(factory=trio.Event, init=False)
     _arrival_numbers: collections.abc.Iterator[int] = attrs.field(
@@ -69,10 +69,10 @@
         """Return whether a server that is not excluded has capacity now."""
         candidates = [
             server
-            for server in self.targets.find_candidates(service, model)
+            for server in self.server_selector.find_candidates(service, model)
             if server.server_id not in excluded
         ]
-        return self.targets.choose(service, candidates, frozenset()) is not None
+        return self.server_selector.choose(service, candidates, frozenset()) is not None
 
     @contextlib.asynccontextmanager
     async def place(
@@ -101,7 +101,7 @@
         try:
             yield server
         finally:
-            self.targets.loads.remove(server.server_id)
+            self.server_selector.loads.remove(server.server_id)
             self.dispatch()
 
     async def run(self) -> None:
@@ -146,10 +146,10 @@
     def _try_place(
         self, service: table.Service, model: str, excluded: collections.abc.Set[str]
     ) -> servers.Server | None:
-        candidates = self.targets.find_candidates(service, model)
-        server = self.targets.choose(service, candidates, excluded)
+        candidates = self.server_selector.find_candidates(service, model)
+        server = self.server_selector.choose(service, candidates, excluded)
         if server is not None:
-            self.targets.record_placement(server)
+            self.server_selector.record_placement(server)
         return server
 
     async def _wait_in_queue(
@@ -161,9 +161,9 @@
         latest_start_s: float,
         excluded: collections.abc.Set[str],
     ) -> servers.Server:
-        if not self.targets.find_candidates(service, model) and not self._may_become_available(
+        if not self.server_selector.find_candidates(
             service, model
-        ):
+        ) and not self._may_become_available(service, model):
             raise self._new_refusal(calls.RefusalReason.NO_SERVER)
         waiter = _Waiter(service, model, latest_start_s, excluded)
         item = (rank, next(self._arrival_numbers), waiter)
@@ -174,7 +174,7 @@
                 await waiter.assigned.wait()
         except trio.Cancelled:
             if waiter.server is not None:
-                self.targets.loads.remove(waiter.server.server_id)
+                self.server_selector.loads.remove(waiter.server.server_id)
             raise
         finally:
             if item in self._queue:
@@ -184,8 +184,8 @@
         return waiter.server
 
     def _may_become_available(self, service: table.Service, model: str) -> bool:
-        return service.engine is None or self.targets.is_group_forming(service, model)
+        return service.engine is None or self.server_selector.is_group_forming(service, model)
 
     def _new_refusal(self, reason: calls.RefusalReason) -> calls.CallError:
-        jitter_s = self.targets.rng.uniform(0, RETRY_JITTER_S)
+        jitter_s = self.server_selector.rng.uniform(0, RETRY_JITTER_S)
         return calls.CallError(reason, retry_after_s=RETRY_AFTER_S + jitter_s)
--- a/toucanhold/gateway/exchange.py
+++ b/toucanhold/gateway/exchange.py
@@ -21,7 +21,7 @@
 import trio
 
 from toucanhold import notifier
-from toucanhold.gateway import crashes, entries, findings, hierarchy, load, notices
+from toucanhold.gateway import crashes, entries, hierarchy, load, notices, silence_reports
 
 REPORT_INTERVAL_S = 0.1
 # Summaries alternate between the two aggregators of each other zone.
@@ -62,8 +62,8 @@
     rng: random.Random
     _urgent_signal: notifier.Notifier = attrs.field(factory=notifier.Notifier, init=False)
     _is_urgent: bool = attrs.field(default=False, init=False)
-    _silence_reports: findings.SilenceReports = attrs.field(
-        factory=findings.SilenceReports, init=False
+    _silence_reports: silence_reports.SilenceReports = attrs.field(
+        factory=silence_reports.SilenceReports, init=False
     )
     _aggregators: dict[str, list[entries.Entry]] = attrs.field(factory=dict, init=False)
     _aggregators_version: int = attrs.field(default=-1, init=False)
--- a/toucanhold/metrics.py
+++ b/toucanhold/metrics.py
@@ -121,9 +121,9 @@
         if math.isfinite(timer.first_event_at_s):
             route = {"http.route": timer.route}
             self._time_to_first_token_s.record(timer.first_event_at_s - timer.started_at_s, route)
-            if timer.events > 1:
+            if timer.event_count > 1:
                 streamed_s = timer.last_event_at_s - timer.first_event_at_s
-                self._time_per_token_s.record(streamed_s / (timer.events - 1), route)
+                self._time_per_token_s.record(streamed_s / (timer.event_count - 1), route)
 
 
 @attrs.define(eq=False)
@@ -133,7 +133,7 @@
     :ivar started_at_s: when the request started, by trio's clock
     :ivar first_event_at_s: when the first events were forwarded; infinite before
     :ivar last_event_at_s: when the latest events were forwarded; infinite before
-    :ivar events: number of forwarded events
+    :ivar event_count: number of forwarded events
     """
 
     metrics: Metrics
@@ -142,15 +142,15 @@
     started_at_s: float
     first_event_at_s: float = math.inf
     last_event_at_s: float = math.inf
-    events: int = 0
+    event_count: int = 0
 
     def record_events(self, count: int) -> None:
         """Record that ``count`` events of a stream are being forwarded now."""
         now_s = trio.current_time()
-        if not self.events:
+        if not self.event_count:
             self.first_event_at_s = now_s
         self.last_event_at_s = now_s
-        self.events += count
+        self.event_count += count
 
     def finish(self, status: int, answer: str) -> None:
         """Record the request as finished now; see :meth:`Metrics.record`."""
--- a/toucanhold/operators/changes.py
+++ b/toucanhold/operators/changes.py
@@ -27,14 +27,14 @@
 class ChangeCoordinator:
     """Carries out validated changes and waits, for a bounded time, until they are in force.
 
-    :ivar hold_spreader: puts holds in force on all reachable entries at once and makes them durable
-        later
+    :ivar hold_broadcaster: puts holds in force on all reachable entries at once and makes them
+        durable later
     :ivar refresh: reads the accepted configuration from the key-value service
     """
 
     store: store.ConfigurationStore
     configuration: holder.ConfigurationHolder
-    hold_spreader: peer_holds.HoldBroadcaster
+    hold_broadcaster: peer_holds.HoldBroadcaster
     roster: roster.Roster
     facts: facts.FactTable
     refresh: Refresh
@@ -70,7 +70,7 @@
         # The hold comes first: if the key-value service were called first, the zone would get new
         # work for as long as a slow call takes, or as long as an outage of that service lasts.
         hold = holds.new_hold(zone, author, self.roster.own.entry)
-        self.hold_spreader.add_hold(hold)
+        self.hold_broadcaster.add_hold(hold)
         with trio.move_on_after(DURABLE_WAIT_S):
             while hold.hold not in self.configuration.accepted.resolved_holds:
                 await self.configuration.wait_changed()
--- a/toucanhold/planning/spreading.py
+++ b/toucanhold/planning/spreading.py
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Outcome:
+class StrategyResult:
     """The placement state that a strategy reached, and the services left short of replicas."""
 
     state: placement_state.PlacementState
@@ -85,11 +85,11 @@
             best.state.assign_spares()
         return placement.Placement(best.state.changed_plans(), best.shortfalls)
 
-    def _decide(self, inputs: placement.PlacementInput, strategy: Strategy) -> Outcome:
+    def _decide(self, inputs: placement.PlacementInput, strategy: Strategy) -> StrategyResult:
         state = placement_state.from_inputs(inputs)
         for service in state.services.values():
             _end_surplus(state, service, strategy)
-        return Outcome(state, tuple(_place_missing(state, strategy)))
+        return StrategyResult(state, tuple(_place_missing(state, strategy)))
 
 
 def zone_cost(state: placement_state.PlacementState, service: rules.Service, zone: str) -> float:
--- a/toucanhold/platform/entry.py
+++ b/toucanhold/platform/entry.py
@@ -210,7 +210,7 @@
         self.cold_budget = budget.ColdBudget(
             bounds.cold_overage, bounds.cold_slack, self.entry_list
         )
-        self.targets = targets.ServerSelector(
+        self.server_selector = targets.ServerSelector(
             self.server_registry,
             self.group_table,
             self.loads,
@@ -223,7 +223,7 @@
         self.gateway = gateway.Gateway(
             self.routes,
             self.servers,
-            admission.Admission(self.targets),
+            admission.Admission(self.server_selector),
             budget.RetryBudget(_retry_bound(bounds), self._traffic_share),
             self.health,
             self.crashes,
--- a/toucanhold/platform/gauges.py
+++ b/toucanhold/platform/gauges.py
@@ -23,7 +23,7 @@
             yield count, {"toucanhold.notice": kind.value, "toucanhold.zone": zone}
 
     def requests_sent() -> metrics.Observations:
-        for is_other_zone, count in entry.targets.placement_counts.items():
+        for is_other_zone, count in entry.server_selector.placement_counts.items():
             yield count, {"toucanhold.zone": "other" if is_other_zone else "own"}
 
     def waiting() -> metrics.Observations:
--- a/toucanhold/platform/headers.py
+++ b/toucanhold/platform/headers.py
@@ -14,7 +14,7 @@
 LAST_EVENT_ID = b"last-event-id"
 MODEL = b"x-model"
 # Signature of an answer by the backend server.
-SEAL = b"x-server-seal"
+SIGNATURE = b"x-server-seal"
 NOT_RUN = b"x-not-executed"
 # Identifier of the group member that prevents the head from serving.
 AT_FAULT = b"at-server"
--- a/toucanhold/platform/servers.py
+++ b/toucanhold/platform/servers.py
@@ -205,7 +205,7 @@
     if answered_id and answered_id != call.call_id:
         raise calls.ResponseLostError(f"response belongs to another request, {answered_id}")
     if 200 <= response.status < 300:
-        if not headers.find(response.headers, headers.SEAL):
+        if not headers.find(response.headers, headers.SIGNATURE):
             raise calls.ResponseLostError(
                 f"status {response.status} without the server's signature"
             )
--- a/toucanhold/routing/admission.py
+++ b/toucanhold/routing/admission.py
@@ -55,7 +55,7 @@
 
     finder: candidates.CandidateFinder
     policy: choice.ChoicePolicy
-    in_flight: capacity.InFlight
+    in_flight: capacity.InFlightCounts
     capacity: capacity.CapacityPolicy
     cold: cold.ColdPolicy
     _waiting: int = attrs.field(default=0, init=False)
--- a/toucanhold/routing/capacity.py
+++ b/toucanhold/routing/capacity.py
@@ -18,7 +18,7 @@
 
 
 @attrs.define(eq=False)
-class InFlight:
+class InFlightCounts:
     """Counts the requests that this entry has in flight, by VM."""
 
     _counts: collections.Counter[str] = attrs.field(factory=collections.Counter)
@@ -61,7 +61,7 @@
 class ReportedCapacity(CapacityPolicy):
     """The baseline: the larger of this entry's requests in flight and the reported load."""
 
-    in_flight: InFlight
+    in_flight: InFlightCounts
     cold: cold.ColdPolicy
 
     def load(self, service: rules.Service, candidate: candidates.Candidate) -> float:
@@ -83,7 +83,7 @@
     :ivar count_entries: returns the number of serving entries
     """
 
-    in_flight: InFlight
+    in_flight: InFlightCounts
     cold: cold.ColdPolicy
     view: view.BackendView
     count_entries: collections.abc.Callable[[], int]
@@ -120,11 +120,11 @@
         sent_since = own - snapshot.own if snapshot else own
         # Seven entries that each see eight free slots would send 56 requests. The requests that
         # other entries have sent since the report are estimated from this entry's usual share.
-        return reported + (sent_since / self._own_part() if sent_since > 0 else sent_since)
+        return reported + (sent_since / self._own_fraction() if sent_since > 0 else sent_since)
 
-    def _own_part(self) -> float:
-        part = (self._own_total + 1) / (self._reported_total + self.count_entries())
-        return min(1.0, max(part, 1 / self.count_entries()))
+    def _own_fraction(self) -> float:
+        fraction = (self._own_total + 1) / (self._reported_total + self.count_entries())
+        return min(1.0, max(fraction, 1 / self.count_entries()))
 
     def _on_report(self, vm: str) -> None:
         observation = self.view.observation(vm)
@@ -176,7 +176,7 @@
     service: rules.Service,
     candidate: candidates.Candidate,
     cold_policy: cold.ColdPolicy,
-    in_flight: InFlight,
+    in_flight: InFlightCounts,
 ) -> bool:
     if candidate.report.warmth is client.Warmth.WARM:
         return True
--- a/toucanhold/routing/fairqueue.py
+++ b/toucanhold/routing/fairqueue.py
@@ -61,7 +61,7 @@
     finder: candidates.CandidateFinder
     view: view.BackendView
     policy: choice.ChoicePolicy
-    in_flight: capacity.InFlight
+    in_flight: capacity.InFlightCounts
     capacity: capacity.CapacityPolicy
     cold: cold.ColdPolicy
     max_in_flight: int = 2000
--- a/toucanhold/routing/incidents.py
+++ b/toucanhold/routing/incidents.py
@@ -41,12 +41,12 @@
 class IncidentTracker:
     """Tracks which request runs where and turns lost connections into incidents."""
 
-    table: suspects.SuspectTable
+    suspect_table: suspects.SuspectTable
     failure_detector: failures.FailureDetector
     view: view.BackendView
-    in_flight: capacity.InFlight
-    _placed: dict[str, TrackedRequest] = attrs.field(factory=dict, init=False)
-    _lost: dict[str, TrackedRequest] = attrs.field(factory=dict, init=False)
+    in_flight: capacity.InFlightCounts
+    _placed_requests: dict[str, TrackedRequest] = attrs.field(factory=dict, init=False)
+    _lost_requests: dict[str, TrackedRequest] = attrs.field(factory=dict, init=False)
     _concurrency_by_boot: dict[tuple[str, str], int] = attrs.field(factory=dict, init=False)
     _nursery: trio.Nursery | None = attrs.field(default=None, init=False)
 
@@ -58,11 +58,11 @@
 
     def tracked_request(self, request: requests.CallerRequest) -> TrackedRequest:
         """Return the state of a request from its earlier attempts, or a new one."""
-        return self._lost.get(request.request_id) or TrackedRequest(request)
+        return self._lost_requests.get(request.request_id) or TrackedRequest(request)
 
     def find_tracked(self, request_id: str) -> TrackedRequest | None:
         """Return the state of a request that is placed now; None if it is not."""
-        return self._placed.get(request_id)
+        return self._placed_requests.get(request_id)
 
     @contextlib.contextmanager
     def track(self, tracked: TrackedRequest, placement: admission.Placement, is_isolated: bool):
@@ -70,7 +70,7 @@
         candidate = placement.candidate
         tracked.boot = failures.Boot(candidate.vm.vm, candidate.report.boot_id, candidate.group)
         tracked.is_isolated, tracked.status, tracked.is_loss_recorded = is_isolated, None, False
-        self._placed[tracked.request.request_id] = tracked
+        self._placed_requests[tracked.request.request_id] = tracked
         try:
             yield
         except (attempts.RetryableError, requests.RequestError):
@@ -79,7 +79,7 @@
                 self.record_loss(tracked)
             raise
         finally:
-            self._placed.pop(tracked.request.request_id, None)
+            self._placed_requests.pop(tracked.request.request_id, None)
 
     def record_loss(self, tracked: TrackedRequest) -> None:
         """Record that a connection was lost with a request in flight."""
@@ -93,7 +93,7 @@
         tracked.loss_count += 1
         self._retain(tracked)
         boot = (tracked.boot.vm, tracked.boot.boot_id)
-        incident = self.table.add(
+        incident = self.suspect_table.add(
             tracked.fingerprint, boot, self._concurrent_requests(boot), tracked.is_isolated
         )
         if incident.verdict is suspects.Verdict.PENDING:
@@ -103,10 +103,12 @@
 
     def _retain(self, tracked: TrackedRequest) -> None:
         now_s = trio.current_time()
-        expired = [key for key, each in self._lost.items() if each.request.deadline_s < now_s]
+        expired = [
+            key for key, each in self._lost_requests.items() if each.request.deadline_s < now_s
+        ]
         for key in expired:
-            del self._lost[key]
-        self._lost[tracked.request.request_id] = tracked
+            del self._lost_requests[key]
+        self._lost_requests[tracked.request.request_id] = tracked
 
     def _concurrent_requests(self, boot: tuple[str, str]) -> int:
         # Requests on a failed server are lost one after another. Keeping the largest count prevents
@@ -134,11 +136,11 @@
         lost_at_s: float,
     ) -> None:
         def vms_with_request() -> set[str]:
-            return {each.vm for each in self.table.incidents(fingerprint)}
+            return {each.vm for each in self.suspect_table.incidents(fingerprint)}
 
         has_failed = await self.failure_detector.has_failed(boot, lost_at_s, vms_with_request)
         verdict = suspects.Verdict.DIED if has_failed else suspects.Verdict.DISMISSED
-        self.table.set_verdict(fingerprint, incident, verdict)
+        self.suspect_table.set_verdict(fingerprint, incident, verdict)
 
 
 @attrs.define(eq=False)
--- a/toucanhold/routing/isolation.py
+++ b/toucanhold/routing/isolation.py
@@ -81,7 +81,7 @@
 
     inner: admission.AdmissionPolicy
     finder: candidates.CandidateFinder
-    in_flight: capacity.InFlight
+    in_flight: capacity.InFlightCounts
     capacity: capacity.CapacityPolicy
     cold: cold.ColdPolicy
     tracker: incidents.IncidentTracker
@@ -96,7 +96,7 @@
     async def place(self, request: requests.CallerRequest, avoid: frozenset[str]):
         """See :class:`admission.AdmissionPolicy`."""
         tracked = self.tracker.tracked_request(request)
-        if self.tracker.table.is_empty() or not await self._must_isolate(tracked):
+        if self.tracker.suspect_table.is_empty() or not await self._must_isolate(tracked):
             async with self.inner.place(request, avoid) as placement:
                 with self.tracker.track(tracked, placement, False):
                     yield placement
@@ -109,10 +109,10 @@
             with self.tracker.track(tracked, placement, is_isolated):
                 yield placement
             if placement.is_finished and _is_completed(tracked.status):
-                self.tracker.table.clear(tracked.fingerprint)
+                self.tracker.suspect_table.clear(tracked.fingerprint)
 
     async def _must_isolate(self, tracked: incidents.TrackedRequest) -> bool:
-        table = self.tracker.table
+        table = self.tracker.suspect_table
         if tracked.is_isolated or table.may_be_quarantined(tracked.fingerprint):
             # It may have caused two failures. Deciding before the verdicts are in could crash a
             # third server, or refuse a request whose isolated server turns out to be alive.
--- a/toucanhold/routing/router.py
+++ b/toucanhold/routing/router.py
@@ -64,7 +64,7 @@
     """
 
     slots: slots.LeasedSlots
-    in_flight: capacity.InFlight
+    in_flight: capacity.InFlightCounts
     finder: candidates.CandidateFinder
     cold: cold.ColdPolicy
     capacity: capacity.CapacityPolicy
@@ -89,7 +89,7 @@
 def build_default(dependencies: RouterDependencies) -> Router:
     """Return a router with the default policies."""
     leased = _leased_slots(dependencies)
-    in_flight = capacity.InFlight()
+    in_flight = capacity.InFlightCounts()
     finder = _finder(dependencies)
     shared_limit = cold.SharedLimit(leased, dependencies.view)
     capacity_policy = capacity.EstimatedCapacity(
@@ -131,7 +131,7 @@
 def build_baseline(dependencies: RouterDependencies) -> Router:
     """Return a router with the baseline policies, for comparison measurements."""
     leased = _leased_slots(dependencies)
-    in_flight = capacity.InFlight()
+    in_flight = capacity.InFlightCounts()
     finder = _finder(dependencies)
     unshared_limit = cold.UnsharedLimit()
     capacity_policy = capacity.ReportedCapacity(in_flight, unshared_limit)
