--- a/toucanhold/routing/admission.py
+++ b/toucanhold/routing/admission.py
@@ -57,7 +57,7 @@
     policy: choice.ChoicePolicy
     in_flight: capacity.InFlightCounts
     capacity: capacity.CapacityPolicy
-    cold: cold.ColdPolicy
+    cold_policy: cold.ColdPolicy
     _waiting: int = attrs.field(default=0, init=False)
 
     @contextlib.asynccontextmanager
@@ -70,7 +70,7 @@
         finally:
             self.in_flight.remove(candidate.vm.vm)
             if not placement.is_finished:
-                self.cold.record_unfinished_end(candidate.vm.vm, candidate.report.boot_id)
+                self.cold_policy.record_unfinished_end(candidate.vm.vm, candidate.report.boot_id)
 
     async def _wait_for_capacity(
         self, request: requests.CallerRequest, avoid: frozenset[str]
--- a/toucanhold/routing/capacity.py
+++ b/toucanhold/routing/capacity.py
@@ -62,18 +62,18 @@
     """The baseline: the larger of this entry's requests in flight and the reported load."""
 
     in_flight: InFlightCounts
-    cold: cold.ColdPolicy
+    cold_policy: cold.ColdPolicy
 
     def load(self, service: rules.Service, candidate: candidates.Candidate) -> float:
         """See :class:`CapacityPolicy`."""
-        limit = _limit(service, candidate, self.cold)
-        reported = candidate.report.running + candidate.report.waiting
-        used = max(self.in_flight.count(candidate.vm.vm), reported)
+        limit = _limit(service, candidate, self.cold_policy)
+        reported_count = candidate.report.running + candidate.report.waiting
+        used = max(self.in_flight.count(candidate.vm.vm), reported_count)
         return used / limit if limit > 0 else 1.0
 
     def may_send(self, service: rules.Service, candidate: candidates.Candidate) -> bool:
         """See :class:`CapacityPolicy`."""
-        return _may_send(service, candidate, self.cold, self.in_flight)
+        return _may_send(service, candidate, self.cold_policy, self.in_flight)
 
 
 @attrs.define(eq=False)
@@ -84,7 +84,7 @@
     """
 
     in_flight: InFlightCounts
-    cold: cold.ColdPolicy
+    cold_policy: cold.ColdPolicy
     view: view.BackendView
     count_entries: collections.abc.Callable[[], int]
     _snapshots: dict[str, _ReportSnapshot] = attrs.field(factory=dict, init=False)
@@ -97,30 +97,32 @@
 
     def load(self, service: rules.Service, candidate: candidates.Candidate) -> float:
         """See :class:`CapacityPolicy`."""
-        limit = _limit(service, candidate, self.cold)
+        limit = _limit(service, candidate, self.cold_policy)
         if limit <= 0:
             return 1.0
-        own = self.in_flight.count(candidate.vm.vm)
+        own_count = self.in_flight.count(candidate.vm.vm)
         if candidate.report.warmth is client.Warmth.COLD:
             # The limit is this entry's own share, so that requests of other entries do not count.
-            return own / limit
-        if own < max(1, limit // self.count_entries()):
+            return own_count / limit
+        if own_count < max(1, limit // self.count_entries()):
             # Otherwise other entries could keep a server full and starve this one: they see at
             # once when their own requests end, this entry only in the next report.
-            return min(self._estimate(candidate, own) / limit, 0.99)
-        return self._estimate(candidate, own) / limit
+            return min(self._estimate(candidate, own_count) / limit, 0.99)
+        return self._estimate(candidate, own_count) / limit
 
     def may_send(self, service: rules.Service, candidate: candidates.Candidate) -> bool:
         """See :class:`CapacityPolicy`."""
-        return _may_send(service, candidate, self.cold, self.in_flight)
+        return _may_send(service, candidate, self.cold_policy, self.in_flight)
 
-    def _estimate(self, candidate: candidates.Candidate, own: int) -> float:
-        reported = candidate.report.running + candidate.report.waiting
+    def _estimate(self, candidate: candidates.Candidate, own_count: int) -> float:
+        reported_count = candidate.report.running + candidate.report.waiting
         snapshot = self._snapshots.get(candidate.vm.vm)
-        sent_since = own - snapshot.own if snapshot else own
+        sent_since = own_count - snapshot.own_count if snapshot else own_count
         # Seven entries that each see eight free slots would send 56 requests. The requests that
         # other entries have sent since the report are estimated from this entry's usual share.
-        return reported + (sent_since / self._own_fraction() if sent_since > 0 else sent_since)
+        return reported_count + (
+            sent_since / self._own_fraction() if sent_since > 0 else sent_since
+        )
 
     def _own_fraction(self) -> float:
         fraction = (self._own_total + 1) / (self._reported_total + self.count_entries())
@@ -133,8 +135,8 @@
         if observation is not None:
             now = self._build_snapshot(observation, previous)
             self._snapshots[vm] = now
-        self._own_total += now.own - previous.own
-        self._reported_total += now.reported - previous.reported
+        self._own_total += now.own_count - previous.own_count
+        self._reported_total += now.reported_count - previous.reported_count
 
     def _build_snapshot(
         self, observation: view.Observation, previous: _ReportSnapshot
@@ -144,21 +146,21 @@
         report, asked_at_s = observation.report, observation.asked_at_s
         counts = [each for each in previous.counts if each[0] >= asked_at_s - REPORT_LAG_S]
         counts.append((asked_at_s, self.in_flight.count(report.vm)))
-        own = min(own for _, own in counts)
-        return _ReportSnapshot(own, report.running + report.waiting, tuple(counts))
+        own_count = min(own_count for _, own_count in counts)
+        return _ReportSnapshot(own_count, report.running + report.waiting, tuple(counts))
 
 
 @attrs.frozen
 class _ReportSnapshot:
     """The load in a report, and this entry's requests in flight at that time.
 
-    :ivar own: fewest of this entry's requests that the report may include
-    :ivar reported: running and waiting requests in the report
+    :ivar own_count: fewest of this entry's requests that the report may include
+    :ivar reported_count: running and waiting requests in the report
     :ivar counts: monotonic time and own requests in flight at each of the latest reports
     """
 
-    own: int = 0
-    reported: int = 0
+    own_count: int = 0
+    reported_count: int = 0
     counts: tuple[tuple[float, int], ...] = ()
 
 
--- a/toucanhold/routing/fairqueue.py
+++ b/toucanhold/routing/fairqueue.py
@@ -63,7 +63,7 @@
     policy: choice.ChoicePolicy
     in_flight: capacity.InFlightCounts
     capacity: capacity.CapacityPolicy
-    cold: cold.ColdPolicy
+    cold_policy: cold.ColdPolicy
     max_in_flight: int = 2000
     _queues: dict[tuple[str, str], _Queue] = attrs.field(factory=dict, init=False)
     _in_flight_by_workspace: collections.Counter[str] = attrs.field(
@@ -99,7 +99,7 @@
                 now_s = trio.current_time()
                 queue.rate.record_finished(now_s, now_s - started_s)
             else:
-                self.cold.record_unfinished_end(chosen.vm.vm, chosen.report.boot_id)
+                self.cold_policy.record_unfinished_end(chosen.vm.vm, chosen.report.boot_id)
             self._release(chosen, request)
 
     def expected_duration_s(self, request: requests.CallerRequest) -> float:
--- a/toucanhold/routing/isolation.py
+++ b/toucanhold/routing/isolation.py
@@ -83,7 +83,7 @@
     finder: candidates.CandidateFinder
     in_flight: capacity.InFlightCounts
     capacity: capacity.CapacityPolicy
-    cold: cold.ColdPolicy
+    cold_policy: cold.ColdPolicy
     tracker: incidents.IncidentTracker
     isolations: Isolations
     _isolating_services: set[str] = attrs.field(factory=set, init=False)
@@ -143,7 +143,7 @@
             self.in_flight.remove(vm)
             self._finish_isolation(tracked, vm)
             if not placement.is_finished:
-                self.cold.record_unfinished_end(vm, candidate.report.boot_id)
+                self.cold_policy.record_unfinished_end(vm, candidate.report.boot_id)
 
     async def _wait_for_isolation(
         self, tracked: incidents.TrackedRequest, avoid: frozenset[str]
--- a/toucanhold/routing/router.py
+++ b/toucanhold/routing/router.py
@@ -66,7 +66,7 @@
     slots: slots.LeasedSlots
     in_flight: capacity.InFlightCounts
     finder: candidates.CandidateFinder
-    cold: cold.ColdPolicy
+    cold_policy: cold.ColdPolicy
     capacity: capacity.CapacityPolicy
     choice: choice.ChoicePolicy
     admission: admission.AdmissionPolicy
