--- a/standins/gateways.py
+++ b/standins/gateways.py
@@ -30,14 +30,14 @@
     name="lookups",
     host=HOST,
     prefix="/lookups/",
-    split=(table.ServiceShare("desk", 1),),
+    service_shares=(table.ServiceShare("desk", 1),),
     repeatability=table.Repeatability.IDEMPOTENT,
     is_stream=False,
-    attempts=2,
+    max_attempts=2,
     timeout_s=1.2,
     objective_s=0.15,
     gap_objective_s=1.2,
-    rank=2,
+    priority=2,
     is_public=True,
 )
 ORDERS = attrs.evolve(
@@ -45,7 +45,7 @@
     name="orders",
     prefix="/orders/",
     repeatability=table.Repeatability.ONCE,
-    attempts=1,
+    max_attempts=1,
 )
 STREAMS = attrs.evolve(
     LOOKUPS,
@@ -54,7 +54,7 @@
     repeatability=table.Repeatability.RESUMABLE,
     is_stream=True,
     timeout_s=5.0,
-    rank=1,
+    priority=1,
 )
 
 
--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -21,8 +21,8 @@
 LAG_S = 0.2
 HEARTBEAT_S = 1.2
 SERVICE = "writers"
-LARGE = table.Model("large", size=4, share=0.57, pace=1.0, load_s=16.0, warm_s=1.6)
-SMALL = table.Model("small", size=3, share=0.43, pace=0.6, load_s=12.0, warm_s=1.1)
+LARGE = table.Model("large", size=4, share=0.57, time_factor=1.0, load_s=16.0, warm_s=1.6)
+SMALL = table.Model("small", size=3, share=0.43, time_factor=0.6, load_s=12.0, warm_s=1.1)
 
 
 def new_engine(*models: table.Model, slots: int = 13) -> table.Engine:
@@ -32,17 +32,17 @@
         slots=slots,
         memory_tokens=795_000,
         step_s=0.006,
-        stride=7,
+        steps_per_pass=7,
         prefill_tokens_per_s=50_700.0,
-        form_s=FORM_S,
+        formation_time_s=FORM_S,
         loads_per_s=4.5,
-        loads_at_once=6,
+        max_concurrent_loads=6,
     )
 
 
 def new_routes(engine: table.Engine, *routes: table.Route, version: int = 1) -> table.RouteTable:
     """Return a configuration with one model service, and plain services as routes need them."""
-    names = {share.service for route in routes for share in route.split} - {SERVICE}
+    names = {share.service for route in routes for share in route.service_shares} - {SERVICE}
     services = {name: table.Service(name, 0.0) for name in names}
     services[SERVICE] = table.Service(SERVICE, 36.0, engine)
     hosts: dict[str, dict[str, table.Route]] = {}
--- a/tests/platform/test_platform_parsing.py
+++ b/tests/platform/test_platform_parsing.py
@@ -135,7 +135,7 @@
         parsed = configuration.decode(item("op/config", CONFIGURATION))
         route = parsed.find("a.example", "/a/b")
         self.assertIs(table.Repeatability.RESUMABLE, route.repeatability)
-        self.assertEqual([table.ServiceShare("llm", 90)], list(route.split))
+        self.assertEqual([table.ServiceShare("llm", 90)], list(route.service_shares))
         self.assertEqual((8.0, 0.3), (route.timeout_s, route.objective_s))
         self.assertEqual("w1", parsed.workspaces["k2"].name)
 
--- a/tests/test_engine_times.py
+++ b/tests/test_engine_times.py
@@ -28,7 +28,7 @@
     @settings(deadline=None, max_examples=50, derandomize=True)
     @given(pace=strategies.floats(0.1, 10), stride=strategies.integers(1, 20))
     def test_slower_groups_pause_for_longer(self, pace, stride):
-        engine = attrs.evolve(ENGINE, stride=stride)
+        engine = attrs.evolve(ENGINE, steps_per_pass=stride)
         model = table.Model("m", 4, 1.0, pace, 10.0, 1.0)
-        slower = attrs.evolve(model, pace=2 * pace)
+        slower = attrs.evolve(model, time_factor=2 * pace)
         self.assertGreater(engine.longest_pause_s(slower), engine.longest_pause_s(model))
--- a/toucanhold/gateway/admission.py
+++ b/toucanhold/gateway/admission.py
@@ -79,14 +79,14 @@
         self,
         service: table.Service,
         model: str,
-        rank: int,
+        priority: int,
         max_wait_s: float,
         latest_start_s: float,
         excluded: collections.abc.Set[str] = frozenset(),
     ) -> collections.abc.AsyncIterator[servers.Server]:
         """Reserve a slot on a server while the context is open.
 
-        :param rank: priority; 0 is most urgent
+        :param priority: 0 is the most urgent
         :param max_wait_s: maximum time in the queue
         :param latest_start_s: trio clock time after which the response misses its objective
         :param excluded: IDs of servers to use only if there are no others
@@ -96,7 +96,7 @@
         server = self._try_place_immediately(service, model, excluded)
         if server is None:
             server = await self._wait_in_queue(
-                service, model, rank, max_wait_s, latest_start_s, excluded
+                service, model, priority, max_wait_s, latest_start_s, excluded
             )
         try:
             yield server
@@ -117,7 +117,7 @@
         """Assign servers with capacity to queued requests in queue order."""
         now_s = trio.current_time()
         queued, self._queue = self._queue, []
-        # By rank, then requests that can still be on time, then by arrival.
+        # By priority, then requests that can still be on time, then by arrival.
         queued.sort(key=lambda item: (item[0], item[-1].latest_start_s < now_s, item[1]))
         full_keys: set[tuple[str, str]] = set()
         for item in queued:
@@ -156,7 +156,7 @@
         self,
         service: table.Service,
         model: str,
-        rank: int,
+        priority: int,
         max_wait_s: float,
         latest_start_s: float,
         excluded: collections.abc.Set[str],
@@ -166,7 +166,7 @@
         ) and not self._may_become_available(service, model):
             raise self._new_refusal(calls.RefusalReason.NO_SERVER)
         waiter = _Waiter(service, model, latest_start_s, excluded)
-        item = (rank, next(self._arrival_numbers), waiter)
+        item = (priority, next(self._arrival_numbers), waiter)
         self._queue_filled.set()
         self._queue.append(item)
         try:
--- a/toucanhold/gateway/gateway.py
+++ b/toucanhold/gateway/gateway.py
@@ -139,9 +139,9 @@
 
     async def _run_attempt(self, state: attempt.CallState, excluded: set[str]) -> int:
         route = state.route
-        rank = route.rank
-        if state.workspace is not None and state.workspace.rank is not None:
-            rank = state.workspace.rank
+        priority = route.priority
+        if state.workspace is not None and state.workspace.priority is not None:
+            priority = state.workspace.priority
         max_wait_s = MAX_WAIT_FRACTION * (state.deadline_s - trio.current_time())
         latest_start_s = state.latest_start_s
         if state.has_response_started:
@@ -154,7 +154,7 @@
             placement = self.admission.place(
                 state.service,
                 state.call.model,
-                rank,
+                priority,
                 max_wait_s,
                 latest_start_s,
                 frozenset(excluded),
@@ -164,7 +164,12 @@
                     self._may_fail_over, state, excluded | {server.server_id}
                 )
                 return await attempt.run_attempt(
-                    state, server, self.servers, self.silence, self.health, may_fail_over
+                    state,
+                    server,
+                    self.servers,
+                    self.silence,
+                    self.health,
+                    may_fail_over,
                 )
         except calls.CallError as error:
             if state.has_response_started:
@@ -175,7 +180,7 @@
 
     def _may_fail_over(self, state: attempt.CallState, excluded: set[str]) -> bool:
         if (
-            state.attempt_count >= state.route.attempts + state.extra_attempts
+            state.attempt_count >= state.route.max_attempts + state.extra_attempts
             or not self.retries.has_remaining(state.service.name)
         ):
             return False
@@ -219,7 +224,7 @@
         if isinstance(error, calls.ResponseLostError):
             if not state.route.may_repeat:
                 return "it may have run, and may run only once"
-            if state.attempt_count >= state.route.attempts + state.extra_attempts:
+            if state.attempt_count >= state.route.max_attempts + state.extra_attempts:
                 return "it has been sent to as many servers as its route allows"
         if state.deadline_s - trio.current_time() < MIN_REMAINING_S:
             return "its time is over"
--- a/toucanhold/replicas/planner.py
+++ b/toucanhold/replicas/planner.py
@@ -294,7 +294,7 @@
         loading_count = sum(map(_is_loading, self.server_registry.of_service(service.name)))
         for preload in preloads:
             incarnation = preload.server.incarnation
-            if loading_count >= service.engine.loads_at_once and self._has_created_groups:
+            if loading_count >= service.engine.max_concurrent_loads and self._has_created_groups:
                 return
             if now_s - self._last_preload_s.get(incarnation, float("-inf")) < PRELOAD_RETRY_S:
                 continue
--- a/toucanhold/routes/table.py
+++ b/toucanhold/routes/table.py
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class ServiceShare:
-    """A service and its weight in a route's split."""
+    """A service and its weight on a route."""
 
     service: str
     weight: float
@@ -33,27 +33,27 @@
     """The target services and limits for requests of one host and path prefix.
 
     :ivar prefix: path prefix, which begins and ends with a slash
-    :ivar split: services that share the requests, with their weights
+    :ivar service_shares: services that share the requests, with their weights
     :ivar is_stream: whether the response is an event stream
-    :ivar attempts: maximum number of backend servers that one request may be sent to
+    :ivar max_attempts: maximum number of backend servers that one request may be sent to
     :ivar timeout_s: maximum time that a request may be kept waiting
     :ivar objective_s: latency objective up to the response, or up to a stream's first event
     :ivar gap_objective_s: objective for the longest gap between two events of a stream
-    :ivar rank: priority; 0 is the highest
+    :ivar priority: 0 is the highest
     :ivar is_public: whether requests need no API key
     """
 
     name: str
     host: str
     prefix: str
-    split: tuple[ServiceShare, ...]
+    service_shares: tuple[ServiceShare, ...]
     repeatability: Repeatability
     is_stream: bool
-    attempts: int
+    max_attempts: int
     timeout_s: float
     objective_s: float
     gap_objective_s: float
-    rank: int
+    priority: int
     is_public: bool
 
     @property
@@ -62,22 +62,22 @@
         return self.repeatability is not Repeatability.ONCE
 
     def draw_service(self, rng: random.Random) -> str:
-        """Return a random service, by the weights of the split."""
-        if len(self.split) == 1:
-            return self.split[0].service
-        weights = [share.weight for share in self.split]
-        return rng.choices(self.split, weights)[0].service
+        """Return a random service, by the weights of the route."""
+        if len(self.service_shares) == 1:
+            return self.service_shares[0].service
+        weights = [share.weight for share in self.service_shares]
+        return rng.choices(self.service_shares, weights)[0].service
 
 
 @attrs.frozen
 class Workspace:
     """The owner of an API key.
 
-    :ivar rank: priority, which overrides the route's unless it is None; 0 is the highest
+    :ivar priority: overrides the route's unless it is None; 0 is the highest
     """
 
     name: str
-    rank: int | None
+    priority: int | None
 
 
 @attrs.frozen
@@ -86,7 +86,7 @@
 
     :ivar size: number of servers in a group
     :ivar share: relative share of the service's servers
-    :ivar pace: factor by which all times of its groups are multiplied
+    :ivar time_factor: factor by which all times of its groups are multiplied
     :ivar load_s: time to load it from the weight store
     :ivar warm_s: time to load it from the host's storage
     """
@@ -94,7 +94,7 @@
     name: str
     size: int
     share: float
-    pace: float
+    time_factor: float
     load_s: float
     warm_s: float
 
@@ -107,23 +107,23 @@
     :ivar memory_tokens: number of tokens that fit into a group's memory
     :ivar step_s: minimum time of one decode step, which generates one token per request
     :ivar step_per_request_s: additional step time per running request
-    :ivar stride: number of steps per pass
+    :ivar steps_per_pass: number of steps per pass
     :ivar prefill_tokens_per_s: prefill throughput
     :ivar prefill_step_tokens: maximum number of prompt tokens that one step prefills
-    :ivar form_s: time from the order to open a group until it serves
+    :ivar formation_time_s: time from the order to open a group until it serves
     :ivar loads_per_s: rate at which the weight store starts model loads
-    :ivar loads_at_once: concurrent model loads that the weight store serves at full speed
+    :ivar max_concurrent_loads: model loads that the weight store serves at full speed at once
     """
 
     models: tuple[Model, ...]
     slots: int
     memory_tokens: int
     step_s: float
-    stride: int
+    steps_per_pass: int
     prefill_tokens_per_s: float
-    form_s: float
+    formation_time_s: float
     loads_per_s: float
-    loads_at_once: int
+    max_concurrent_loads: int
     step_per_request_s: float = 0.0
     prefill_step_tokens: int = 0
 
@@ -140,7 +140,7 @@
         prefill_s = 0.0
         if self.prefill_tokens_per_s > 0:
             prefill_s = self.prefill_step_tokens / self.prefill_tokens_per_s
-        return model.pace * self.stride * (self.full_step_s + prefill_s)
+        return model.time_factor * self.steps_per_pass * (self.full_step_s + prefill_s)
 
     def model(self, name: str) -> Model | None:
         """Return a model by name."""
