--- a/standins/gateways.py
+++ b/standins/gateways.py
@@ -292,7 +292,7 @@
         """Run what the gateway needs beside requests."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.gateway.admission.run)
-            nursery.start_soon(self.gateway.silence.run)
+            nursery.start_soon(self.gateway.silence_detector.run)
             yield nursery
             nursery.cancel_scope.cancel()
 
--- a/tests/platform/test_platform_calls.py
+++ b/tests/platform/test_platform_calls.py
@@ -34,7 +34,7 @@
             async with standins.served(server_app) as address:
                 server = attrs.evolve(gateways.new_servers(1)["b0"], address=address)
                 scene = gateways.GatewayScene({"b0": server})
-                scene.gateway.servers = servers.PlatformServerClient()
+                scene.gateway.server_client = servers.PlatformServerClient()
                 app = front.FrontApp(scene.gateway, metrics.Metrics("e"), lambda: False)
                 async with scene.running(), standins.served(app) as entry:
                     with trio.fail_after(20):
--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -78,7 +78,7 @@
         await nursery.start(self.peers.run)
         nursery.start_soon(self.permit.run)
         nursery.start_soon(self.revisions.run)
-        nursery.start_soon(self.holds.run)
+        nursery.start_soon(self.hold_broadcaster.run)
         nursery.start_soon(self.configuration_follower.run)
         nursery.start_soon(self.plan_follower.run)
         nursery.start_soon(self.roster_follower.run)
@@ -157,7 +157,7 @@
             self.roster,
             self.facts,
         )
-        self.holds = holds.HoldBroadcaster(
+        self.hold_broadcaster = holds.HoldBroadcaster(
             entry_settings.entry,
             self.exchange,
             self.configuration,
@@ -273,7 +273,7 @@
         operators_changes = changes.ChangeCoordinator(
             self.store,
             self.configuration,
-            self.holds,
+            self.hold_broadcaster,
             self.roster,
             self.facts,
             self.reader.refresh,
--- a/toucanhold/gateway/admission.py
+++ b/toucanhold/gateway/admission.py
@@ -101,7 +101,7 @@
         try:
             yield server
         finally:
-            self.server_selector.loads.remove(server.server_id)
+            self.server_selector.load_tracker.remove(server.server_id)
             self.dispatch()
 
     async def run(self) -> None:
@@ -174,7 +174,7 @@
                 await waiter.assigned.wait()
         except trio.Cancelled:
             if waiter.server is not None:
-                self.server_selector.loads.remove(waiter.server.server_id)
+                self.server_selector.load_tracker.remove(waiter.server.server_id)
             raise
         finally:
             if item in self._queue:
--- a/toucanhold/gateway/exchange.py
+++ b/toucanhold/gateway/exchange.py
@@ -56,8 +56,8 @@
     """
 
     entry_list: entries.EntryList
-    loads: load.LoadTracker
-    crashes: crashes.CrashTracker
+    load_tracker: load.LoadTracker
+    crash_tracker: crashes.CrashTracker
     on_silent: collections.abc.Callable[[str, str], None]
     rng: random.Random
     _urgent_signal: notifier.Notifier = attrs.field(factory=notifier.Notifier, init=False)
@@ -147,7 +147,7 @@
             upstream = self.upstream()
             if upstream:
                 report = self._encode_notice(
-                    notices.Kind.REPORT, self.loads.local_counts(), is_upward=True
+                    notices.Kind.REPORT, self.load_tracker.local_counts(), is_upward=True
                 )
                 await self._send_to(socket, notices.Kind.REPORT, report, upstream)
             if self.is_active_aggregator:
@@ -167,7 +167,7 @@
                 receivers += ranked if is_urgent else [ranked[self._summary_count % len(ranked)]]
         if receivers:
             summary = self._encode_notice(
-                notices.Kind.SUMMARY, self.loads.local_counts(), is_upward=True
+                notices.Kind.SUMMARY, self.load_tracker.local_counts(), is_upward=True
             )
             await self._send_to(socket, notices.Kind.SUMMARY, summary, receivers)
 
@@ -181,7 +181,7 @@
             await self._send_digest(socket, by_name[name])
 
     async def _send_digest(self, socket: trio.socket.SocketType, receiver: entries.Entry) -> None:
-        counts = self.loads.counts_without(receiver.entry)
+        counts = self.load_tracker.counts_without(receiver.entry)
         digest = self._encode_notice(notices.Kind.DIGEST, counts, is_upward=False)
         await self._send_to(socket, notices.Kind.DIGEST, digest, [receiver])
 
@@ -201,7 +201,7 @@
                 own.boot,
                 counts,
                 self._silence_reports.local() if is_upward else self._silence_reports.all(),
-                self.crashes.recent_counts(MAX_CRASH_COUNTS, max_age_s),
+                self.crash_tracker.recent_counts(MAX_CRASH_COUNTS, max_age_s),
             )
         )
 
@@ -232,12 +232,12 @@
             )
             return None
         for fingerprint, count in notice.crashes:
-            self.crashes.merge(fingerprint, count)
+            self.crash_tracker.merge(fingerprint, count)
         self._handle_silence_reports(notice)
         match notice.kind:
             case notices.Kind.REPORT:
                 self._last_report_s[sender.entry] = trio.current_time()
-                self.loads.update_source(
+                self.load_tracker.update_source(
                     sender.entry, notice.in_flight, REPORT_VALIDITY_S, is_local=True
                 )
                 return sender
@@ -255,17 +255,19 @@
             return
         interval_s = size_bytes / MAX_CONTROL_BYTES_PER_S
         self._interval_s = min(MAX_REPORT_INTERVAL_S, max(REPORT_INTERVAL_S, interval_s))
-        self.loads.update_source(UPSTREAM_SOURCE, notice.in_flight, REPORT_VALIDITY_S)
+        self.load_tracker.update_source(UPSTREAM_SOURCE, notice.in_flight, REPORT_VALIDITY_S)
 
     def _handle_summary(self, sender: entries.Entry, notice: notices.Notice) -> None:
         if sender.zone == self.entry_list.own.zone:
             return
         if self.is_active_aggregator:
-            self.loads.remove_source(UPSTREAM_SOURCE)
-            self.loads.update_source(f"zone {sender.zone}", notice.in_flight, REPORT_VALIDITY_S)
+            self.load_tracker.remove_source(UPSTREAM_SOURCE)
+            self.load_tracker.update_source(
+                f"zone {sender.zone}", notice.in_flight, REPORT_VALIDITY_S
+            )
         else:
             # The aggregator's digest includes the other zones.
-            self.loads.remove_source(f"zone {sender.zone}")
+            self.load_tracker.remove_source(f"zone {sender.zone}")
 
     def _handle_silence_reports(self, notice: notices.Notice) -> None:
         is_local = notice.kind is notices.Kind.REPORT
--- a/toucanhold/gateway/gateway.py
+++ b/toucanhold/gateway/gateway.py
@@ -38,17 +38,17 @@
 class Gateway:
     """Serves calls according to the newest route table.
 
-    :ivar servers: sends calls to backend servers
+    :ivar server_client: sends calls to backend servers
     :ivar in_flight: number of calls without a final response
     """
 
     routes: table.RouteTableHolder
-    servers: calls.ServerClient
+    server_client: calls.ServerClient
     admission: admission.Admission
-    retries: budget.RetryBudget
+    retry_budget: budget.RetryBudget
     health: health.Health
-    crashes: crashes.CrashTracker
-    silence: silence.SilenceDetector
+    crash_tracker: crashes.CrashTracker
+    silence_detector: silence.SilenceDetector
     rng: random.Random
     in_flight: int = attrs.field(default=0, init=False)
 
@@ -98,7 +98,7 @@
         reply: calls.Reply,
     ) -> int:
         service = routes.services[route.draw_service(self.rng)]
-        self.retries.record_request(service.name)
+        self.retry_budget.record_request(service.name)
         deadline_s = min(call.deadline_s, call.arrived_s + route.timeout_s)
         state = attempt.CallState(call, route, service, workspace, deadline_s, reply)
         status = 0
@@ -118,7 +118,7 @@
         fingerprint = crashes.request_fingerprint(state.call, state.workspace_name)
         excluded: set[str] = set()
         while True:
-            if self.crashes.is_blocked(fingerprint):
+            if self.crash_tracker.is_blocked(fingerprint):
                 reason = calls.RefusalReason.CRASHES_SERVERS
                 self._raise_failure(state, reason, CRASHING_RETRY_AFTER_S)
             try:
@@ -131,10 +131,10 @@
                 state.record_lost_response()
                 self.health.record_outcome(state.server_id, is_failure=True)
                 if error.is_connection_lost:
-                    self.crashes.record_crash(fingerprint)
+                    self.crash_tracker.record_crash(fingerprint)
                 self._check_retry(state, error)
             else:
-                self.crashes.clear(fingerprint)
+                self.crash_tracker.clear(fingerprint)
                 return status
 
     async def _run_attempt(self, state: attempt.CallState, excluded: set[str]) -> int:
@@ -166,8 +166,8 @@
                 return await attempt.run_attempt(
                     state,
                     server,
-                    self.servers,
-                    self.silence,
+                    self.server_client,
+                    self.silence_detector,
                     self.health,
                     may_fail_over,
                 )
@@ -181,7 +181,7 @@
     def _may_fail_over(self, state: attempt.CallState, excluded: set[str]) -> bool:
         if (
             state.attempt_count >= state.route.max_attempts + state.extra_attempts
-            or not self.retries.has_remaining(state.service.name)
+            or not self.retry_budget.has_remaining(state.service.name)
         ):
             return False
         return self.admission.has_capacity(state.service, state.call.model, excluded)
@@ -192,12 +192,12 @@
         excluded.add(state.server_id)
         if error.is_gone:
             self.health.avoid(state.server_id, str(error))
-            self.silence.on_silent(state.server_id)
+            self.silence_detector.on_silent(state.server_id)
         if error.at_fault:
             # The head names the group member that prevents it from serving, so its failure is
             # permanent.
             self.health.avoid(state.server_id, f"{error.at_fault} is at fault")
-            self.silence.on_silent(state.server_id)
+            self.silence_detector.on_silent(state.server_id)
 
     def _check_retry(self, state: attempt.CallState, error: calls.ExchangeError) -> None:
         """Return if the call may be retried on another server, and consume a retry.
@@ -228,7 +228,7 @@
                 return "it has been sent to as many servers as its route allows"
         if state.deadline_s - trio.current_time() < MIN_REMAINING_S:
             return "its time is over"
-        if not self.retries.try_acquire(state.service.name):
+        if not self.retry_budget.try_acquire(state.service.name):
             return "the budget of retries is used up"
         return ""
 
--- a/toucanhold/gateway/targets.py
+++ b/toucanhold/gateway/targets.py
@@ -36,7 +36,7 @@
 
     server_registry: registry.Registry
     group_table: records.GroupTable
-    loads: load.LoadTracker
+    load_tracker: load.LoadTracker
     health: health.Health
     cold_budget: budget.ColdBudget
     closed_zones: collections.abc.Set[str]
@@ -52,7 +52,7 @@
 
     def record_placement(self, server: servers.Server) -> None:
         """Count a request that is placed on a server."""
-        self.loads.add(server.server_id)
+        self.load_tracker.add(server.server_id)
         self.placement_counts[server.zone != self.zone] += 1
         if server.cold_until_s > trio.current_time():
             self.cold_budget.record_request(server.server_id)
@@ -129,7 +129,7 @@
         ]
 
     def _has_capacity(self, service: table.Service, server: servers.Server) -> bool:
-        if self.loads.estimate(server.server_id) >= _slots(service, server):
+        if self.load_tracker.estimate(server.server_id) >= _slots(service, server):
             return False
         if server.cold_until_s > trio.current_time():
             return self.cold_budget.may_send(server, service.cold_requests_per_s)
@@ -138,7 +138,7 @@
     def _placement_cost(
         self, service: table.Service, server: servers.Server
     ) -> tuple[float, float]:
-        cost = float(self.loads.estimate(server.server_id))
+        cost = float(self.load_tracker.estimate(server.server_id))
         cost += FAILURE_PENALTY_REQUESTS * self.health.failure_rate(server.server_id)
         if server.zone != self.zone:
             cost += OTHER_ZONE_PENALTY_FRACTION * _slots(service, server)
--- a/toucanhold/platform/entry.py
+++ b/toucanhold/platform/entry.py
@@ -85,7 +85,7 @@
         self.closed_zones: set[str] = set()
         self.kv_mirror.add_listener(configuration.PREFIX, self._apply_operator_settings)
         self.entry_list = entries.EntryList(self._own_entry(), self.store, self.kv_mirror, self.rng)
-        self.servers = servers.PlatformServerClient()
+        self.server_client = servers.PlatformServerClient()
         self._build_relay()
         self._build_planner()
         self._build_gateway()
@@ -103,7 +103,7 @@
             self.planner_lease.run,
             self.planner.run,
             self.gateway.admission.run,
-            self.gateway.silence.run,
+            self.gateway.silence_detector.run,
             self.exchange.run,
             self._reload_on_signal,
         ):
@@ -193,7 +193,7 @@
             self.group_table,
             self.server_registry,
             self.routes,
-            self.servers,
+            self.server_client,
             lambda: frozenset(self.closed_zones),
             self.settings.bounds.stall_s,
         )
@@ -201,19 +201,23 @@
     def _build_gateway(self) -> None:
         bounds = self.settings.bounds
         self.health = health.Health()
-        self.loads = load.LoadTracker()
-        self.crashes = crashes.CrashTracker()
+        self.load_tracker = load.LoadTracker()
+        self.crash_tracker = crashes.CrashTracker()
         self.exchange = exchange.Exchange(
-            self.entry_list, self.loads, self.crashes, self._on_silence_report, self.rng
+            self.entry_list,
+            self.load_tracker,
+            self.crash_tracker,
+            self._on_silence_report,
+            self.rng,
         )
-        self.silence = silence.SilenceDetector(self.health, self._on_silent_server)
+        self.silence_detector = silence.SilenceDetector(self.health, self._on_silent_server)
         self.cold_budget = budget.ColdBudget(
             bounds.cold_overage, bounds.cold_slack, self.entry_list
         )
         self.server_selector = targets.ServerSelector(
             self.server_registry,
             self.group_table,
-            self.loads,
+            self.load_tracker,
             self.health,
             self.cold_budget,
             self.closed_zones,
@@ -222,12 +226,12 @@
         )
         self.gateway = gateway.Gateway(
             self.routes,
-            self.servers,
+            self.server_client,
             admission.Admission(self.server_selector),
             budget.RetryBudget(_retry_bound(bounds), self._traffic_share),
             self.health,
-            self.crashes,
-            self.silence,
+            self.crash_tracker,
+            self.silence_detector,
             self.rng,
         )
 
@@ -248,7 +252,7 @@
         events.log(LOGGER, events.Event.SETTINGS_RELOADED, bounds=attrs.asdict(new_settings.bounds))
 
     def _apply_bounds(self, bounds: settings.Bounds) -> None:
-        self.gateway.retries.bound = _retry_bound(bounds)
+        self.gateway.retry_budget.bound = _retry_bound(bounds)
         self.cold_budget.overage, self.cold_budget.slack = bounds.cold_overage, bounds.cold_slack
         self.planner.stall_s = bounds.stall_s
 
@@ -260,7 +264,7 @@
         return sharing.share(self.entry_list.own, self.entry_list.others())
 
     def _on_silence_report(self, server_id: str, entry_name: str) -> None:
-        if self.silence.confirm(server_id, entry_name):
+        if self.silence_detector.confirm(server_id, entry_name):
             self.planner.suspect(server_id)
 
     def _batch_delay_s(self) -> float:
