--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -21,8 +21,8 @@
 LAG_S = 0.2
 HEARTBEAT_S = 1.2
 SERVICE = "writers"
-LARGE = table.Model("large", size=4, share=0.57, time_factor=1.0, load_s=16.0, warm_s=1.6)
-SMALL = table.Model("small", size=3, share=0.43, time_factor=0.6, load_s=12.0, warm_s=1.1)
+LARGE = table.Model("large", size=4, share=0.57, pace=1.0, load_s=16.0, warm_s=1.6)
+SMALL = table.Model("small", size=3, share=0.43, pace=0.6, load_s=12.0, warm_s=1.1)
 
 
 def new_engine(*models: table.Model, slots: int = 13) -> table.Engine:
--- a/tests/platform/soak/site.py
+++ b/tests/platform/soak/site.py
@@ -21,8 +21,8 @@
 PLAIN_SERVERS = 2
 GRACE_S = 8.0
 MODELS = (
-    table.Model("large", size=4, share=0.57, time_factor=1.0, load_s=0.6, warm_s=0.3),
-    table.Model("small", size=3, share=0.43, time_factor=0.6, load_s=0.5, warm_s=0.3),
+    table.Model("large", size=4, share=0.57, pace=1.0, load_s=0.6, warm_s=0.3),
+    table.Model("small", size=3, share=0.43, pace=0.6, load_s=0.5, warm_s=0.3),
 )
 PORTS = {"front": 8227, "ready": 8220, "directory": 8224, "between": 7340}
 
--- a/tests/test_engine_times.py
+++ b/tests/test_engine_times.py
@@ -30,5 +30,5 @@
     def test_slower_groups_pause_for_longer(self, pace, stride):
         engine = attrs.evolve(ENGINE, steps_per_pass=stride)
         model = table.Model("m", 4, 1.0, pace, 10.0, 1.0)
-        slower = attrs.evolve(model, time_factor=2 * pace)
+        slower = attrs.evolve(model, pace=2 * pace)
         self.assertGreater(engine.longest_pause_s(slower), engine.longest_pause_s(model))
--- a/toucanhold/platform/configuration.py
+++ b/toucanhold/platform/configuration.py
@@ -117,7 +117,7 @@
         name=fields["name"],
         size=int(fields.get("size") or 1),
         share=fields.get("share") or 0.0,
-        time_factor=fields.get("pace") or 1.0,
+        pace=fields.get("pace") or 1.0,
         load_s=fields.get("load_s") or 0.0,
         warm_s=fields.get("warm_s") or 0.0,
     )
--- a/toucanhold/routes/table.py
+++ b/toucanhold/routes/table.py
@@ -86,7 +86,7 @@
 
     :ivar size: number of servers in a group
     :ivar share: relative share of the service's servers
-    :ivar time_factor: factor by which all times of its groups are multiplied
+    :ivar pace: factor by which all times of its groups are multiplied
     :ivar load_s: time to load it from the weight store
     :ivar warm_s: time to load it from the host's storage
     """
@@ -94,7 +94,7 @@
     name: str
     size: int
     share: float
-    time_factor: float
+    pace: float
     load_s: float
     warm_s: float
 
@@ -140,7 +140,7 @@
         prefill_s = 0.0
         if self.prefill_tokens_per_s > 0:
             prefill_s = self.prefill_step_tokens / self.prefill_tokens_per_s
-        return model.time_factor * self.steps_per_pass * (self.full_step_s + prefill_s)
+        return model.pace * self.steps_per_pass * (self.full_step_s + prefill_s)
 
     def model(self, name: str) -> Model | None:
         """Return a model by name."""
