--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -85,7 +85,9 @@
 
 def with_lost(inputs, *names):
     return attrs.evolve(
-        inputs, usable=inputs.usable - set(names), lost=inputs.lost | frozenset(names)
+        inputs,
+        usable_vms=inputs.usable_vms - set(names),
+        lost_vms=inputs.lost_vms | frozenset(names),
     )
 
 
@@ -171,7 +173,9 @@
         unreachable = _vms_in(before, "zone-1")
         moved, _ = apply_placement(with_lost(before, *unreachable))
         self.assertEqual({"zone-0": 2}, zones_of(moved, "drafts"))
-        recovered = attrs.evolve(moved, usable=before.usable, lost=frozenset(), settled_s=5.0)
+        recovered = attrs.evolve(
+            moved, usable_vms=before.usable_vms, lost_vms=frozenset(), settled_s=5.0
+        )
         recovered = with_reports(recovered)
         self.assertEqual((), POLICY.place(recovered).changed)
         moving, _ = apply_placement(attrs.evolve(recovered, settled_s=1000.0), formed=False)
@@ -217,7 +221,7 @@
         self.assertTrue(_generation_keys(before) <= _generation_keys(during))
         during = with_reports(during)
         recovered = attrs.evolve(
-            during, configuration=before.configuration, usable=before.usable, settled_s=0.0
+            during, configuration=before.configuration, usable_vms=before.usable_vms, settled_s=0.0
         )
         after, _ = apply_placement(recovered)
         self.assertEqual({"zone-0": 1, "zone-1": 1, "zone-2": 1}, zones_of(after, "drafts"))
@@ -234,7 +238,7 @@
         recovered = attrs.evolve(
             during,
             configuration=before.configuration,
-            usable=before.usable,
+            usable_vms=before.usable_vms,
             reports=during.reports | cold,
         )
         after, _ = apply_placement(recovered)
@@ -290,7 +294,9 @@
         inputs = new_inputs(vms, services, generation_floor=7)
         used = set()
         for lost in rounds:
-            inputs = attrs.evolve(inputs, usable=frozenset(inputs.vms) - lost, lost=frozenset(lost))
+            inputs = attrs.evolve(
+                inputs, usable_vms=frozenset(inputs.vms) - lost, lost_vms=frozenset(lost)
+            )
             known = {group.generation_key for group in groups_of(inputs)}
             inputs, _ = apply_placement(inputs)
             new = {group.generation_key for group in groups_of(inputs)} - known
@@ -311,7 +317,7 @@
             self.assertEqual(1, len({vm.fabric_domain for vm in vms}))
             self.assertEqual(wanted.vms_per_replica, len(vms))
             self.assertTrue(all(vm.accelerators >= wanted.accelerators_per_vm for vm in vms))
-            self.assertTrue(set(group.members) <= inputs.usable)
+            self.assertTrue(set(group.members) <= inputs.usable_vms)
         for each in inputs.plans.values():
             self.assertIsInstance(each, plan.DomainPlan)
             self.assertTrue(all(group.generation <= each.last_generation for group in each.groups))
@@ -328,4 +334,4 @@
 def _with_zones_out(inputs, *zones):
     configuration = attrs.evolve(inputs.configuration, zones_out=frozenset(zones))
     gone = {name for zone in zones for name in _vms_in(inputs, zone)}
-    return attrs.evolve(inputs, configuration=configuration, usable=inputs.usable - gone)
+    return attrs.evolve(inputs, configuration=configuration, usable_vms=inputs.usable_vms - gone)
--- a/tools/measure/placement.py
+++ b/tools/measure/placement.py
@@ -61,7 +61,7 @@
     steady = attrs.evolve(given, plans=plans)
     steady_s, _ = _timed(policy, steady)
     lost = next(iter(plans.values())).groups[0].members[0]
-    failed = attrs.evolve(steady, usable=given.usable - {lost}, lost=frozenset({lost}))
+    failed = attrs.evolve(steady, usable_vms=given.usable_vms - {lost}, lost_vms=frozenset({lost}))
     failure_s, _ = _timed(policy, failed)
     facts_s = _facts_s(configuration, placed)
     return (first_s * 1e3, steady_s * 1e3, failure_s * 1e3, peak_kb, facts_s * 1e3)
--- a/toucanhold/planning/input_building.py
+++ b/toucanhold/planning/input_building.py
@@ -41,22 +41,22 @@
         return placement.PlacementInput(
             configuration=self.configuration.current,
             plans=plans,
-            usable=usable,
-            lost=frozenset(vm.vm for vm in vms if self._is_lost(vm, now_s)),
+            usable_vms=usable,
+            lost_vms=frozenset(vm.vm for vm in vms if self._is_lost(vm, now_s)),
             reports=reports,
-            ended=frozenset(
+            ended_generations=frozenset(
                 group.generation_key
                 for group in self.plans.groups()
                 if self.view.is_ended(*group.generation_key)
             ),
-            complete=frozenset(
+            complete_generations=frozenset(
                 group.generation_key
                 for group in self.plans.groups()
                 if self.is_complete(group, now_s)
             ),
             generation_floor=generation_floor(fencing, reports.values()),
             substitutes=self._substitutes(),
-            unstable=frozenset(
+            unstable_vms=frozenset(
                 vm.vm
                 for vm in vms
                 if now_s - self.view.restarted_at_s(vm.vm) < UNSTABLE_AFTER_RESTART_S
--- a/toucanhold/planning/placement.py
+++ b/toucanhold/planning/placement.py
@@ -19,28 +19,30 @@
 
     :ivar configuration: the configuration in force
     :ivar plans: current plan of each fabric domain, by domain
-    :ivar usable: VMs that answer, are not leaving, and lie in an availability zone that is not out
-    :ivar lost: VMs that have ended, are leaving, or have not answered for too long
+    :ivar usable_vms: VMs that answer, are not leaving, and lie in an availability zone that is not
+        out
+    :ivar lost_vms: VMs that have ended, are leaving, or have not answered for too long
     :ivar reports: each VM's latest report regardless of age, by VM name
-    :ivar ended: generation keys of groups that were observed to lose a member
-    :ivar complete: generation keys of groups all of whose members report that they have joined
+    :ivar ended_generations: generation keys of groups that were observed to lose a member
+    :ivar complete_generations: generation keys of groups all of whose members report that they have
+        joined
     :ivar generation_floor: highest generation number that may have been used; new ones are greater
     :ivar substitutes: groups with a spare in a lost member's place, formed while the key-value
         service was unavailable, by the generation key of the planned group
-    :ivar unstable: VMs that restarted recently
+    :ivar unstable_vms: VMs that restarted recently
     :ivar settled_s: seconds since the set of usable VMs last changed
     """
 
     configuration: snapshot.Configuration
     plans: collections.abc.Mapping[str, plan.DomainPlan]
-    usable: frozenset[str]
-    lost: frozenset[str] = frozenset()
+    usable_vms: frozenset[str]
+    lost_vms: frozenset[str] = frozenset()
     reports: collections.abc.Mapping[str, client.Report] = attrs.field(factory=dict)
-    ended: frozenset[tuple[str, int]] = frozenset()
-    complete: frozenset[tuple[str, int]] = frozenset()
+    ended_generations: frozenset[tuple[str, int]] = frozenset()
+    complete_generations: frozenset[tuple[str, int]] = frozenset()
     generation_floor: int = 0
     substitutes: collections.abc.Mapping[tuple[str, int], plan.Group] = attrs.field(factory=dict)
-    unstable: frozenset[str] = frozenset()
+    unstable_vms: frozenset[str] = frozenset()
     settled_s: float = math.inf
 
     @functools.cached_property
@@ -50,20 +52,20 @@
 
     def is_broken(self, group: plan.Group) -> bool:
         """Return whether a group lost a member, which ends its generation."""
-        if group.generation_key in self.ended:
+        if group.generation_key in self.ended_generations:
             return True
         return any(self.has_left(member, group) for member in group.members)
 
     def reason_to_end(self, group: plan.Group) -> str:
         """Return the reason for ending a group, for the log."""
         for member in group.members:
-            if member in self.lost:
+            if member in self.lost_vms:
                 return f"{member} is gone or leaves"
             if self.has_left(member, group):
                 return f"{member} restarted or left the group"
             if is_unavailable(member, self):
                 return f"the availability zone of {member} is out"
-        if group.generation_key in self.ended:
+        if group.generation_key in self.ended_generations:
             return "a member was seen to leave"
         service = self.configuration.rules.service(group.service)
         if service is None or not is_current(group, service):
@@ -95,8 +97,8 @@
         if report is None:
             # This entry has no report from the VM yet. Otherwise a planner that has just started
             # would end every group before its first polls return. A dead VM becomes lost soon.
-            return member in self.lost
-        if member in self.lost or not group.expects_boot(member, report.boot_id):
+            return member in self.lost_vms
+        if member in self.lost_vms or not group.expects_boot(member, report.boot_id):
             return True
         return group.formed and (report.group, report.generation) != group.generation_key
 
@@ -208,7 +210,7 @@
     free: dict[str, list[inventory.Vm]] = collections.defaultdict(list)
     for vm in inputs.configuration.inventory.vms:
         is_engine = vm.kind is inventory.VmKind.ENGINE
-        if is_engine and vm.vm in inputs.usable and vm.vm not in occupied:
+        if is_engine and vm.vm in inputs.usable_vms and vm.vm not in occupied:
             free[vm.fabric_domain].append(vm)
     return free
 
--- a/toucanhold/planning/placement_state.py
+++ b/toucanhold/planning/placement_state.py
@@ -24,7 +24,7 @@
         do not count as replicas
     :ivar free: usable VMs outside any group, by fabric domain
     :ivar survivors: members of groups that lost a member; they leave without finishing requests
-    :ivar drainable_zones: availability zones that operators may take out, as on a hot day
+    :ivar drainable_zones: availability zones that operators may take out, for example on hot days
     :ivar domains_by_zone: fabric domains by the availability zone of their first VM
     """
 
@@ -86,7 +86,7 @@
         options.sort(
             key=lambda vm: (
                 self.has_work_in_progress(vm),
-                vm.vm in self.inputs.unstable,
+                vm.vm in self.inputs.unstable_vms,
                 vm.accelerators,
                 not self.has_weights(vm, service),
                 vm.vm,
@@ -120,7 +120,7 @@
         self._by_service[group.service].remove(group)
         self._zone_counts[group.service][self.zone_of(group)] -= 1
         for member in group.members:
-            if member in self.inputs.usable:
+            if member in self.inputs.usable_vms:
                 self.free.setdefault(domain, []).append(self.inputs.vms[member])
 
     def assign_spares(self) -> None:
@@ -185,7 +185,7 @@
                 continue
             substitute = inputs.substitutes.get(group.generation_key)
             if substitute is not None and not inputs.is_broken(substitute):
-                formed = substitute.generation_key in inputs.complete
+                formed = substitute.generation_key in inputs.complete_generations
                 state.add_group(domain, attrs.evolve(substitute, formed=formed))
                 continue
             if inputs.is_broken(group):
@@ -224,5 +224,5 @@
         if vm.fabric_domain not in listed_domains:
             listed_domains.add(vm.fabric_domain)
             state.domains_by_zone[vm.availability_zone].append(vm.fabric_domain)
-        if vm.vm in state.inputs.usable and vm.vm not in occupied:
+        if vm.vm in state.inputs.usable_vms and vm.vm not in occupied:
             state.free.setdefault(vm.fabric_domain, []).append(vm)
--- a/toucanhold/planning/planner.py
+++ b/toucanhold/planning/planner.py
@@ -133,7 +133,7 @@
             new = set(domain_plan.groups) - set(old.groups)
             reasons |= {group.generation_key: inputs.reason_to_form(group) for group in new}
             await self.writer.write(domain_plan, reasons)
-        await self._record_formed(inputs.complete)
+        await self._record_formed(inputs.complete_generations)
         if not self.term_log.is_term_recorded:
             return
         async with trio.open_nursery() as nursery:
--- a/toucanhold/planning/preview.py
+++ b/toucanhold/planning/preview.py
@@ -120,10 +120,10 @@
     }
     usable = {
         name
-        for name in inputs.usable
+        for name in inputs.usable_vms
         if name in vms and vms[name].availability_zone not in wanted.zones_out
     }
-    changed = attrs.evolve(inputs, configuration=wanted, usable=frozenset(usable | added))
+    changed = attrs.evolve(inputs, configuration=wanted, usable_vms=frozenset(usable | added))
     placed = policy.place(changed)
     plans = dict(inputs.plans) | {each.domain: each for each in placed.changed}
     return _active_groups(plans, wanted)
--- a/toucanhold/planning/spreading.py
+++ b/toucanhold/planning/spreading.py
@@ -245,7 +245,7 @@
     state: placement_state.PlacementState, service: rules.Service, group: plan.Group
 ) -> int:
     return sum(
-        member in state.inputs.usable
+        member in state.inputs.usable_vms
         and state.inputs.vms[member].accelerators >= service.accelerators_per_vm
         for member in group.members
     )
