--- a/toucanhold/routing/incidents.py
+++ b/toucanhold/routing/incidents.py
@@ -144,7 +144,7 @@
 
 
 @attrs.define(eq=False)
-class TrackingBackends(client.BackendClient):
+class TrackingBackendClient(client.BackendClient):
     """Wraps another client and records lost answers."""
 
     inner: client.BackendClient
--- a/toucanhold/routing/isolation.py
+++ b/toucanhold/routing/isolation.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define(eq=False)
-class Isolations:
+class IsolationTable:
     """Backend servers that this entry or a peer reserves for one suspected request each."""
 
     exchange: exchange.Exchange
@@ -58,7 +58,7 @@
     """Wraps another policy and reports isolated backend servers as full."""
 
     inner: capacity.CapacityPolicy
-    isolations: Isolations
+    isolations: IsolationTable
 
     def load(self, service: rules.Service, candidate: candidates.Candidate) -> float:
         """See :class:`capacity.CapacityPolicy`."""
@@ -85,7 +85,7 @@
     capacity: capacity.CapacityPolicy
     cold_policy: cold.ColdPolicy
     tracker: incidents.IncidentTracker
-    isolations: Isolations
+    isolations: IsolationTable
     _isolating_services: set[str] = attrs.field(factory=set, init=False)
 
     def expected_duration_s(self, request: requests.CallerRequest) -> float:
--- a/toucanhold/routing/router.py
+++ b/toucanhold/routing/router.py
@@ -95,7 +95,7 @@
     capacity_policy = capacity.EstimatedCapacity(
         in_flight, shared_limit, dependencies.view, lambda: len(dependencies.serving_entries())
     )
-    isolations = isolation.Isolations(dependencies.exchange)
+    isolations = isolation.IsolationTable(dependencies.exchange)
     usable = isolation.IsolatingCapacity(capacity_policy, isolations)
     policy = choice.TwoChoices(usable, dependencies.rng, dependencies.availability_zone)
     queue = fairqueue.FairQueue(
@@ -120,7 +120,7 @@
     dispatcher = dispatch.Dispatcher(
         admission_policy,
         finder,
-        incidents.TrackingBackends(dependencies.backends, tracker),
+        incidents.TrackingBackendClient(dependencies.backends, tracker),
         watchdog.Watchdog(dependencies.view),
     )
     return Router(
