--- a/toucanhold/callers/directory.py
+++ b/toucanhold/callers/directory.py
@@ -1,4 +1,4 @@
-"""The directory: tells callers which entries to send requests to."""
+"""The directory: selects the entries to which callers send requests."""
 
 import collections.abc
 import hashlib
--- a/toucanhold/coordination/rate_limit.py
+++ b/toucanhold/coordination/rate_limit.py
@@ -11,7 +11,7 @@
 
 from toucanhold.coordination import keyvalue
 
-# A call that would wait longer is refused, which tells its caller that it had no effect.
+# A call that would wait longer is refused, so that its caller knows that it had no effect.
 MAX_WAIT_S = 0.5
 
 
--- a/toucanhold/membership/permit.py
+++ b/toucanhold/membership/permit.py
@@ -97,7 +97,7 @@
         self._log_change()
 
     def _invalidate_confirmations(self, gap_s: float) -> None:
-        # Heartbeats sent before or during the pause still wait in the sockets and would be taken
+        # Heartbeats sent before or during the pause are still in the sockets and would be mistaken
         # for current ones. A new handshake answers a new challenge, so it must be current.
         events.log(LOGGER, events.Event.ENTRY_PAUSED, gap_s=round(gap_s, 3))
         self.disconnect_peers()
--- a/toucanhold/orders/claims.py
+++ b/toucanhold/orders/claims.py
@@ -113,7 +113,7 @@
         try:
             result = await self.committer.commit(commits.Commit(absent, write))
         except keyvalue.IndeterminateError:
-            # The write may have taken effect, or may do so later; only reading the key tells.
+            # The write may have taken effect, or may do so later; only a read of the key shows it.
             # Writing again with the same attempt id is safe, since both writes claim for the same
             # attempt. An expired lease gives the same error, so the next try uses a new lease.
             self.leases.discard(lease)
--- a/toucanhold/platform/settings.py
+++ b/toucanhold/platform/settings.py
@@ -23,7 +23,7 @@
     :ivar retry_ratio: retries allowed for a service, as a share of its requests
     :ivar retry_slack: retries allowed in addition, a number
     :ivar retry_window_s: window in which requests and retries are counted
-    :ivar cold_overage: factor on the requests per second that a cold server says it can take
+    :ivar cold_overage: factor on the requests per second that a cold server accepts by its report
     :ivar cold_slack: requests allowed to cold servers in addition, a number
     :ivar stall_s: time after which a head that lacks a member fails by itself
     :ivar grace_s: time between the stop signal and the kill
--- a/toucanhold/relay/following.py
+++ b/toucanhold/relay/following.py
@@ -130,7 +130,7 @@
                 await frame_stream.send(
                     [messages.encode(messages.Subscribe(self.kv_mirror.revision))]
                 )
-            # The first status says whether the source gets answers of the service. If not, its
+            # The first status shows whether the service answers the source. If not, its
             # stream is closed here; otherwise streams of repeated attempts would accumulate during
             # an outage.
             await self._receive_until_status(source)
--- a/toucanhold/routing/failures.py
+++ b/toucanhold/routing/failures.py
@@ -55,7 +55,7 @@
     async def has_failed(
         self, boot: Boot, lost_at_s: float, vms_with_request: collections.abc.Callable[[], set[str]]
     ) -> bool:
-        """Tell whether a backend server failed alone when a connection to it was lost.
+        """Return whether a backend server failed alone when a connection to it was lost.
 
         False if it is alive, if other servers failed at the same time, or if nothing is known
         after ``VERDICT_TIMEOUT_S``.
--- a/toucanhold/routing/fairqueue.py
+++ b/toucanhold/routing/fairqueue.py
@@ -134,7 +134,7 @@
     ) -> candidates.Candidate:
         now_s = trio.current_time()
         wait_s = self._expected_wait_s(queue, request.workspace, now_s)
-        # Queueing a request that cannot be served in time would keep its caller from asking
+        # Queueing a request that cannot be served in time would keep its caller from trying
         # another entry, and take the place of a request that can still be served.
         if wait_s > min(MAX_EXPECTED_WAIT_S, request.deadline_s - now_s - queue.rate.duration_s):
             raise _refusal_error(
--- a/toucanhold/routing/slots.py
+++ b/toucanhold/routing/slots.py
@@ -30,7 +30,7 @@
 
 
 class SlotOwnership(abc.ABC):
-    """Tells which slots this entry owns."""
+    """Shows which slots this entry owns."""
 
     @abc.abstractmethod
     def acquired_at_s(self, slot: int) -> float | None:
--- a/toucanhold/routing/suspects.py
+++ b/toucanhold/routing/suspects.py
@@ -74,17 +74,17 @@
         self.exchange.subscribe_connected(self._send_all)
 
     def is_suspect(self, fingerprint: bytes) -> bool:
-        """Tell whether a request must run isolated."""
+        """Return whether a request must run isolated."""
         return any(
             incident.verdict is not Verdict.DISMISSED for incident in self.incidents(fingerprint)
         )
 
     def is_quarantined(self, fingerprint: bytes) -> bool:
-        """Tell whether a request is refused permanently."""
+        """Return whether a request is refused permanently."""
         return self._exceeds_threshold(self.incidents(fingerprint), Verdict.DIED)
 
     def may_be_quarantined(self, fingerprint: bytes) -> bool:
-        """Tell whether a request is quarantined if all pending verdicts become ``DIED``."""
+        """Return whether a request is quarantined if all pending verdicts become ``DIED``."""
         return self._exceeds_threshold(self.incidents(fingerprint), Verdict.DIED, Verdict.PENDING)
 
     def incidents(self, fingerprint: bytes) -> list[Incident]:
@@ -93,7 +93,7 @@
         return [] if suspect is None else list(suspect.incidents.values())
 
     def is_empty(self) -> bool:
-        """Tell whether no request is suspected."""
+        """Return whether no request is suspected."""
         return not self._suspects
 
     def add(
