--- a/toucanhold/peers/streams.py
+++ b/toucanhold/peers/streams.py
@@ -52,8 +52,8 @@
     :ivar own: identity of this entry and its process
     :ivar address: ``IP:port`` to listen on
     :ivar keys: secrets shared by the entries; a peer must prove that it has one of them
-    :ivar addresses: returns the ``IP:port`` of each peer to dial; called repeatedly
-    :ivar heartbeat: returns the next heartbeat for the peer of the given name
+    :ivar get_addresses: returns the ``IP:port`` of each peer to dial; called repeatedly
+    :ivar compose_heartbeat: returns the next heartbeat for the peer of the given name
     :ivar sent_bytes: number of bytes sent over authenticated streams
     """
 
@@ -62,8 +62,8 @@
     keys: keyring.KeyRing
     transport: transport.PeerTransport
     exchange: exchange.Exchange
-    addresses: GetAddresses
-    heartbeat: ComposeHeartbeat
+    get_addresses: GetAddresses
+    compose_heartbeat: ComposeHeartbeat
     rng: random.Random
     sent_bytes: int = 0
     _links: dict[str, _Link] = attrs.field(factory=dict, init=False)
@@ -80,7 +80,7 @@
             await nursery.start(self.transport.listen, self.address, self._accept)
             task_status.started()
             while True:
-                for address in set(self.addresses()) - self._dialling - {self.address}:
+                for address in set(self.get_addresses()) - self._dialling - {self.address}:
                     self._dialling.add(address)
                     nursery.start_soon(self._dial, address)
                 await trio.sleep(DIAL_CHECK_INTERVAL_S * self.rng.uniform(0.5, 1.5))
@@ -94,7 +94,7 @@
     async def _dial(self, address: str) -> None:
         # Both entries of a pair dial, since connections may be possible in one direction only.
         backoff_s = FIRST_BACKOFF_S
-        while address in self.addresses():
+        while address in self.get_addresses():
             if not self._is_connected(address):
                 if await self._dial_once(address):
                     backoff_s = FIRST_BACKOFF_S
@@ -239,7 +239,7 @@
 
     async def _send_heartbeats(self, link: _Link) -> None:
         while True:
-            link.outbox.put(messages.encode(self.heartbeat(link.peer.entry)))
+            link.outbox.put(messages.encode(self.compose_heartbeat(link.peer.entry)))
             await trio.sleep(HEARTBEAT_INTERVAL_S * self.rng.uniform(0.8, 1.2))
 
     async def _watch_overflow(self, link: _Link) -> None:
