--- a/standins/orders.py
+++ b/standins/orders.py
@@ -193,7 +193,7 @@
 
     def issue(self):
         """Return a new order key."""
-        return self.keeper.issued.issue("growers", 1)[0]
+        return self.keeper.issued_executor.issue("growers", 1)[0]
 
     async def order(self, request):
         """Return (status, outcome, body); "dead" where the entry ended first."""
--- a/tests/test_order_keys.py
+++ b/tests/test_order_keys.py
@@ -16,7 +16,9 @@
     def with_peers(self, body):
         async def introduced(store, sender, a, b):
             for entry, other in ((a, b), (b, a)):
-                entry.keeper.issued.roster.update_from_peer(other.keeper.issued.roster.own)
+                entry.keeper.issued_executor.roster.update_from_peer(
+                    other.keeper.issued_executor.roster.own
+                )
             await body(store, sender, a, b)
 
         self.with_entries(introduced)
@@ -51,7 +53,7 @@
             key = a.issue()
             await a.order(order_fakes.new_request(key))
             a.kill()
-            b.keeper.issued.roster.remove("a")
+            b.keeper.issued_executor.roster.remove("a")
             restarted = order_fakes.new_entry("a", store, sender)
             for entry in (b, restarted):
                 answer = await entry.order(order_fakes.new_request(key))
@@ -69,7 +71,7 @@
                 await a.order(order_fakes.new_request(key))
             self.assertEqual(0, await a.keeper.drain(timeout_s=30))
             a.kill()
-            b.keeper.issued.roster.remove("a")
+            b.keeper.issued_executor.roster.remove("a")
             for key in used:
                 answer = await b.order(order_fakes.new_request(key))
                 self.assertEqual((200, "ran", b"done"), answer)
@@ -114,7 +116,7 @@
                 answer = await a.order(order_fakes.new_request(key))
                 self.assertEqual(("outcome-unknown", "unknown"), answer[:2])
             self.assertEqual(1, len(sender.runs))
-            self.assertFalse(a.keeper.issued._used_keys)
+            self.assertFalse(a.keeper.issued_executor._used_keys)
 
         self.with_peers(body)
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -300,7 +300,7 @@
 class ClaimLimitTest(OrderTest):
     def test_claims_in_the_service_are_bounded_and_expire(self):
         async def body(store, sender, a, b):
-            a.keeper.claimed.claims.leases.max_claims = lambda: 3
+            a.keeper.claimed_executor.claims.leases.max_claims = lambda: 3
             sender.behaviours = ["ok", "not-sent"]
             outcomes = []
             for number in range(6):
--- a/tools/measure/orders.py
+++ b/tools/measure/orders.py
@@ -53,12 +53,16 @@
         entry = orders.new_entry(name, self.store, self.sender, CLAIM_CALLS_PER_S)
         if way == SINGLE:
             bucket = limits.TokenBucket(lambda: CLAIM_CALLS_PER_S / ENTRIES, 28)
-            claims = entry.keeper.claimed.claims
+            claims = entry.keeper.claimed_executor.claims
             claims.committer = commits.SingleCommitter(self.store, bucket)
         await self.nursery.start(entry.run)
         for other in self.entries:
-            other.keeper.issued.roster.update_from_peer(entry.keeper.issued.roster.own)
-            entry.keeper.issued.roster.update_from_peer(other.keeper.issued.roster.own)
+            other.keeper.issued_executor.roster.update_from_peer(
+                entry.keeper.issued_executor.roster.own
+            )
+            entry.keeper.issued_executor.roster.update_from_peer(
+                other.keeper.issued_executor.roster.own
+            )
         self.entries.append(entry)
         return entry
 
@@ -242,9 +246,9 @@
         else:
             victim = site.entries.pop(rng.randrange(len(site.entries)))
             victim.kill()
-            name = victim.keeper.issued.roster.own.entry
+            name = victim.keeper.issued_executor.roster.own.entry
             for other in site.entries:
-                other.keeper.issued.roster.remove(name)
+                other.keeper.issued_executor.roster.remove(name)
             await site.add(name)
     site.store.faults.clear()
 
@@ -323,7 +327,7 @@
         store = orders.FakeKeyValue(latency_s=0.0)
         site = _Site(store, orders.FakeSender(run_s=0.0), [], nursery)
         entry = await site.add("entry-0")
-        entry.keeper.claimed.claims.committer.bucket.rate_per_s = lambda: 1e6
+        entry.keeper.claimed_executor.claims.committer.bucket.rate_per_s = lambda: 1e6
         keys = iter([_key(site, entry, way, number) for number in range(COST_ORDERS)])
 
         async def send() -> None:
--- a/toucanhold/callers/app.py
+++ b/toucanhold/callers/app.py
@@ -60,7 +60,7 @@
 
     def __attrs_post_init__(self) -> None:
         """Create the components that depend on other fields."""
-        self.order_keys = order_keys.OrderKeyIssuer(self.orders.issued)
+        self.order_keys = order_keys.OrderKeyIssuer(self.orders.issued_executor)
         self.body_memory = bodies.BodyMemoryBudget(MAX_FULL_SIZE_BODIES * self.limits.body_bytes)
         self.reader = reading.RequestReader(
             self.configuration, self.permit, self.limits, self.body_memory
--- a/toucanhold/orders/handling.py
+++ b/toucanhold/orders/handling.py
@@ -14,18 +14,18 @@
 class OrderHandler:
     """Passes each order to the executor for its kind of idempotency key.
 
-    :ivar claimed: executes orders under keys chosen by callers
-    :ivar issued: executes orders under keys issued by an entry
+    :ivar claimed_executor: executes orders under keys chosen by callers
+    :ivar issued_executor: executes orders under keys issued by an entry
     """
 
     runner: running.OrderRunner
-    claimed: claimed.ClaimedOrderExecutor
-    issued: issued.IssuedKeyExecutor
+    claimed_executor: claimed.ClaimedOrderExecutor
+    issued_executor: issued.IssuedKeyExecutor
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
         """Run the tasks of orders and the commits of claims until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.claimed.claims.committer.run)
+            nursery.start_soon(self.claimed_executor.claims.committer.run)
             await nursery.start(self.runner.run)
             task_status.started()
 
@@ -37,7 +37,9 @@
         """
         deadline_s = trio.current_time() + timeout_s
         unstored = await self.runner.wait_idle(timeout_s)
-        return unstored + await self.issued.persist_outcomes(deadline_s - trio.current_time())
+        return unstored + await self.issued_executor.persist_outcomes(
+            deadline_s - trio.current_time()
+        )
 
     @contextlib.asynccontextmanager
     async def serve(
@@ -57,8 +59,8 @@
         if not request.idempotency_key:
             return await self.runner.run_detached(self._run_once, request)
         if keys.is_issued(request.idempotency_key):
-            return await self.issued.execute(request)
-        return await self.claimed.execute(request)
+            return await self.issued_executor.execute(request)
+        return await self.claimed_executor.execute(request)
 
     async def _run_once(
         self, request: requests.CallerRequest, future: results.ResultFuture
