--- a/tests/test_planner_safety.py
+++ b/tests/test_planner_safety.py
@@ -125,9 +125,9 @@
                 (known,) = node.plans.domains()
                 site.platform.faults["node"].lose_answers = 1
                 emptied = attrs.evolve(known.plan, groups=())
-                self.assertTrue(await node.planner.writer.write(emptied))
+                self.assertTrue(await node.planner.plan_writer.write(emptied))
                 self.assertEqual([], list(node.plans.groups()))
-                self.assertTrue(node.planner.writer.is_confirmed("domain-0-0"))
+                self.assertTrue(node.planner.plan_writer.is_confirmed("domain-0-0"))
 
         planner_fixtures.run(test)
 
@@ -140,7 +140,7 @@
                 faults.lose_kinds, faults.lose_requests = ("kv/txn", "kv/range"), 1000
                 site.engine(0).mode = fleet.Mode.REFUSING
                 await trio.sleep(2)
-                self.assertFalse(node.planner.writer.is_confirmed("domain-0-0"))
+                self.assertFalse(node.planner.plan_writer.is_confirmed("domain-0-0"))
                 self.assertEqual([], planner_fixtures.leave_times_s_of(site.engine(1)))
                 faults.lose_requests = 0
                 await planner_fixtures.wait_until(node.whole_groups)
@@ -155,7 +155,9 @@
                 node = site.start("node")
                 node.scope.cancel()
                 node.lease.fencing = 0
-                self.assertFalse(await node.planner.writer.write(plan.DomainPlan("domain-0-0")))
+                self.assertFalse(
+                    await node.planner.plan_writer.write(plan.DomainPlan("domain-0-0"))
+                )
                 item = await site.platform.client("x").read_key(plan.key_of("domain-0-0"))
                 self.assertIsNone(item)
 
@@ -171,7 +173,7 @@
                 await planner_fixtures.wait_until(lambda: new.planner.term_log.is_term_recorded)
                 (known,) = old.plans.domains()
                 emptied = attrs.evolve(known.plan, groups=())
-                self.assertFalse(await old.planner.writer.write(emptied))
+                self.assertFalse(await old.planner.plan_writer.write(emptied))
                 self.assertEqual(1, len(list(new.plans.groups())))
 
         planner_fixtures.run(test)
--- a/toucanhold/gauges.py
+++ b/toucanhold/gauges.py
@@ -101,7 +101,7 @@
         "toucanhold.planner.lease_held",
         "1",
         "Whether this entry is the planner",
-        _unlabelled(lambda entry: int(entry.planner.leadership.is_held())),
+        _unlabelled(lambda entry: int(entry.planner.planner_lease.is_held())),
     ),
     MetricSource(
         "toucanhold.platform.answering",
--- a/toucanhold/operators/status.py
+++ b/toucanhold/operators/status.py
@@ -35,7 +35,7 @@
             entry=self.roster.own.entry,
             configuration=self.configuration.current.number,
             plan_revision=self.plans.revision,
-            is_planner=self.planner.leadership.is_held(),
+            is_planner=self.planner.planner_lease.is_held(),
             platform_answering=self.follower.is_answering,
             entries=tuple(self._entry_status(member) for member in self.roster.members()),
             services=tuple(self._service_statuses()),
--- a/toucanhold/planning/planner.py
+++ b/toucanhold/planning/planner.py
@@ -44,16 +44,16 @@
     plans: plan.PlanHolder
     view: view.BackendView
     policy: placement.PlacementPolicy
-    store: keyvalue.KeyValueClient
+    kv_client: keyvalue.KeyValueClient
     backends: client.BackendClient
-    leadership: lease.LeasedKey
+    planner_lease: lease.LeasedKey
     entry: str = ""
     peers_address: str = ""
     probe: terms.PredecessorProbe = attrs.field(factory=terms.NoProbe)
     process: str = attrs.field(factory=lambda: uuid.uuid4().hex)
     shortfalls: tuple[placement.Shortfall, ...] = ()
     input_builder: input_building.PlacementInputBuilder = attrs.field(init=False)
-    writer: writing.PlanWriter = attrs.field(init=False)
+    plan_writer: writing.PlanWriter = attrs.field(init=False)
     term_log: terms.TermLog = attrs.field(init=False)
     order_scheduler: order_scheduling.OrderScheduler = attrs.field(init=False)
     outage_substitution: substitution.OutageSubstitution = attrs.field(init=False)
@@ -65,15 +65,20 @@
         self.input_builder = input_building.PlacementInputBuilder(
             self.configuration, self.plans, self.view
         )
-        self.writer = writing.PlanWriter(self.plans, self.store, self.leadership)
+        self.plan_writer = writing.PlanWriter(self.plans, self.kv_client, self.planner_lease)
         self.term_log = terms.TermLog(
-            self.store, self.leadership, self.entry, self.process, self.peers_address, self.probe
+            self.kv_client,
+            self.planner_lease,
+            self.entry,
+            self.process,
+            self.peers_address,
+            self.probe,
         )
         self.order_scheduler = order_scheduling.OrderScheduler(
             self.configuration, self.plans, self.view, self.term_log
         )
         self.outage_substitution = substitution.OutageSubstitution(
-            self.configuration, self.plans, self.input_builder, self.store, self.leadership
+            self.configuration, self.plans, self.input_builder, self.kv_client, self.planner_lease
         )
 
     async def run(self) -> None:
@@ -90,21 +95,21 @@
 
     def placement_input(self) -> placement.PlacementInput:
         """Return the inputs of a placement decision now."""
-        return self.input_builder.build(self.leadership.fencing)
+        return self.input_builder.build(self.planner_lease.fencing)
 
     def renounce(self, fencing: int) -> None:
         """Stop acting on the term ``fencing``, unless its lease is still held."""
-        if self.outage_substitution.last_term <= fencing and not self.leadership.is_held():
+        if self.outage_substitution.last_term <= fencing and not self.planner_lease.is_held():
             self.outage_substitution.renounce()
 
     def can_act(self, fencing: int) -> bool:
         """Return whether this entry may still send an order of the term ``fencing``."""
-        holds_lease = self.leadership.is_held() and self.leadership.fencing == fencing
+        holds_lease = self.planner_lease.is_held() and self.planner_lease.fencing == fencing
         return holds_lease or self._sending_count > 0
 
     async def _plan_or_substitute(self) -> None:
         try:
-            if self.leadership.is_held():
+            if self.planner_lease.is_held():
                 self.outage_substitution.record_held()
                 await self._tick()
             elif await self.outage_substitution.may_act():
@@ -121,9 +126,9 @@
                     nursery.start_soon(self._deliver, due, ORDER_TIMEOUT_S)
 
     async def _tick(self) -> None:
-        fencing = self.leadership.fencing
+        fencing = self.planner_lease.fencing
         await self.term_log.record_term()
-        await self.writer.read_back_unconfirmed()
+        await self.plan_writer.read_back_unconfirmed()
         inputs = self.placement_input()
         placed = self.policy.place(inputs)
         self._log_new_shortfalls(placed.shortfalls)
@@ -132,13 +137,13 @@
             reasons = {group.generation_key: inputs.reason_to_end(group) for group in old.groups}
             new = set(domain_plan.groups) - set(old.groups)
             reasons |= {group.generation_key: inputs.reason_to_form(group) for group in new}
-            await self.writer.write(domain_plan, reasons)
+            await self.plan_writer.write(domain_plan, reasons)
         await self._record_formed(inputs.complete_generations)
         if not self.term_log.is_term_recorded:
             return
         async with trio.open_nursery() as nursery:
             for due in self.order_scheduler.due_orders(fencing):
-                if self.writer.is_confirmed(due.vm.fabric_domain):
+                if self.plan_writer.is_confirmed(due.vm.fabric_domain):
                     nursery.start_soon(self._send, due, fencing)
 
     async def _record_formed(self, complete: frozenset[tuple[str, int]]) -> None:
@@ -148,15 +153,17 @@
                 attrs.evolve(group, formed=group.formed or group.generation_key in complete)
                 for group in old.groups
             )
-            if groups != old.groups and await self.writer.write(attrs.evolve(old, groups=groups)):
+            if groups != old.groups and await self.plan_writer.write(
+                attrs.evolve(old, groups=groups)
+            ):
                 _log_formed(old, groups)
 
     async def _send(self, due: order_scheduling.DueOrder, fencing: int) -> None:
         # A tick can take seconds when the store is slow, and a process can be paused anywhere. The
         # lease is therefore checked again just before the order is sent, with a margin for its
         # delivery.
-        remaining_s = self.leadership.remaining_s()
-        if remaining_s < LEASE_MARGIN_S or self.leadership.fencing != fencing:
+        remaining_s = self.planner_lease.remaining_s()
+        if remaining_s < LEASE_MARGIN_S or self.planner_lease.fencing != fencing:
             return
         await self._deliver(due, min(ORDER_TIMEOUT_S, remaining_s))
 
@@ -179,7 +186,7 @@
         )
 
     def _log_leadership_change(self) -> None:
-        fencing = self.leadership.fencing if self.leadership.is_held() else 0
+        fencing = self.planner_lease.fencing if self.planner_lease.is_held() else 0
         if fencing and fencing != self._logged_fencing:
             events.log(LOGGER, events.Event.PLANNER_ELECTED, fencing=fencing)
         if self._logged_fencing and not fencing:
--- a/toucanhold/planning/substitution.py
+++ b/toucanhold/planning/substitution.py
@@ -32,14 +32,14 @@
     configuration: holder.ConfigurationHolder
     plans: plan.PlanHolder
     input_builder: input_building.PlacementInputBuilder
-    store: keyvalue.KeyValueClient
-    leadership: lease.LeasedKey
+    kv_client: keyvalue.KeyValueClient
+    planner_lease: lease.LeasedKey
     last_term: int = attrs.field(default=0, init=False)
     _held_at_s: float = attrs.field(default=float("-inf"), init=False)
 
     def record_held(self) -> None:
         """Record that this entry holds the planner lease now."""
-        self.last_term, self._held_at_s = self.leadership.fencing, trio.current_time()
+        self.last_term, self._held_at_s = self.planner_lease.fencing, trio.current_time()
 
     def renounce(self) -> None:
         """Stop acting on the last term, because a successor exists."""
@@ -55,7 +55,7 @@
             self.renounce()
             return False
         try:
-            item = await self.store.read_key(writing.PLANNER_KEY)
+            item = await self.kv_client.read_key(writing.PLANNER_KEY)
         except keyvalue.KeyValueError:
             return True
         if item is not None and item.create_revision > self.last_term:
--- a/toucanhold/planning/terms.py
+++ b/toucanhold/planning/terms.py
@@ -55,8 +55,8 @@
     :ivar probe: determines whether earlier planners have ended
     """
 
-    store: keyvalue.KeyValueClient
-    leadership: lease.LeasedKey
+    kv_client: keyvalue.KeyValueClient
+    planner_lease: lease.LeasedKey
     entry: str
     process: str
     peers_address: str
@@ -68,7 +68,7 @@
     @property
     def is_term_recorded(self) -> bool:
         """Whether the current term is stored, so that orders may be sent."""
-        return self._recorded_fencing != 0 and self._recorded_fencing == self.leadership.fencing
+        return self._recorded_fencing != 0 and self._recorded_fencing == self.planner_lease.fencing
 
     def predecessors(self) -> tuple[plan.Term, ...]:
         """Return the earlier terms whose holders may still act.
@@ -84,10 +84,10 @@
 
         :raises keyvalue.KeyValueError: when it is unknown whether the term was stored
         """
-        fencing = self.leadership.fencing
+        fencing = self.planner_lease.fencing
         if self.is_term_recorded or not fencing:
             return
-        item = await self.store.read_key(TERMS_KEY)
+        item = await self.kv_client.read_key(TERMS_KEY)
         stored = _decode(item)
         # Earlier terms of this process are skipped: a tick awaits its orders, so none of theirs is
         # still in transit.
@@ -112,7 +112,7 @@
     async def run(self) -> None:
         """Probe the holders of earlier terms until cancelled."""
         while True:
-            if self.is_term_recorded and self.leadership.is_held():
+            if self.is_term_recorded and self.planner_lease.is_held():
                 await self._probe_predecessors()
             await trio.sleep(PROBE_INTERVAL_S)
 
@@ -130,9 +130,9 @@
                 LOGGER, events.Event.PREDECESSOR_ENDED, entry=term.entry, fencing=term.fencing
             )
         try:
-            item = await self.store.read_key(TERMS_KEY)
+            item = await self.kv_client.read_key(TERMS_KEY)
             remaining = tuple(term for term in _decode(item) if term not in ended)
-            await self._write(self.leadership.fencing, item, remaining)
+            await self._write(self.planner_lease.fencing, item, remaining)
         except keyvalue.KeyValueError as error:
             LOGGER.debug("ended terms not removed from the stored list: %s", error)
 
@@ -148,7 +148,7 @@
             keyvalue.Condition(TERMS_KEY, mod_revision=item.mod_revision if item else 0),
         ]
         record = keyvalue.Write(TERMS_KEY, codec.to_json(Terms(terms)))
-        return (await self.store.commit(conditions, [record])).succeeded
+        return (await self.kv_client.commit(conditions, [record])).succeeded
 
 
 def _decode(item: keyvalue.Item | None) -> tuple[plan.Term, ...]:
--- a/toucanhold/planning/writing.py
+++ b/toucanhold/planning/writing.py
@@ -19,8 +19,8 @@
     """Writes domain plans; no other component changes the stored plan."""
 
     plans: plan.PlanHolder
-    store: keyvalue.KeyValueClient
-    leadership: lease.LeasedKey
+    kv_client: keyvalue.KeyValueClient
+    planner_lease: lease.LeasedKey
     _unconfirmed: set[str] = attrs.field(factory=set, init=False)
     _change_reasons: collections.abc.Mapping = attrs.field(factory=dict, init=False)
 
@@ -46,7 +46,7 @@
         :raises keyvalue.KeyValueError: when the service does not answer; unless the write is known
             not to have taken effect, the domain then stays unconfirmed
         """
-        fencing = self.leadership.fencing
+        fencing = self.planner_lease.fencing
         if not fencing:
             # A create revision of 0 would require that the planner key does not exist, which is the
             # case between terms.
@@ -66,7 +66,7 @@
         self._unconfirmed.add(new.domain)
         self._change_reasons = reasons or {}
         try:
-            result = await self.store.commit(conditions, [record])
+            result = await self.kv_client.commit(conditions, [record])
         except keyvalue.UnavailableError:
             self._unconfirmed.discard(new.domain)
             raise
@@ -81,7 +81,7 @@
         return True
 
     async def _read_back(self, domain: str) -> None:
-        item = await self.store.read_key(plan.key_of(domain))
+        item = await self.kv_client.read_key(plan.key_of(domain))
         if item is None:
             await self._restore(domain, 0)
             return
@@ -99,7 +99,7 @@
         if last_known.revision == mod_revision == 0:
             self._unconfirmed.discard(domain)
             return
-        fencing = self.leadership.fencing
+        fencing = self.planner_lease.fencing
         if not fencing:
             return
         conditions = [
@@ -108,7 +108,7 @@
         ]
         restored = attrs.evolve(last_known.plan, fencing=fencing)
         record = keyvalue.Write(plan.key_of(domain), codec.to_json(restored))
-        result = await self.store.commit(conditions, [record])
+        result = await self.kv_client.commit(conditions, [record])
         if result.succeeded:
             events.log(LOGGER, events.Event.PLAN_RESTORED, domain=domain)
             self._apply(plan.VersionedDomainPlan(restored, result.revision))
