--- a/standins/orders.py
+++ b/standins/orders.py
@@ -208,7 +208,7 @@
 
     def issue_key(self):
         """Return a new order key."""
-        return self.order_handler.issued.issue("growers", 1)[0]
+        return self.order_handler.issued_executor.issue("growers", 1)[0]
 
     async def send_order(self, request):
         """Send an order to this entry and return (status, outcome, body).
--- a/standins/planners.py
+++ b/standins/planners.py
@@ -28,7 +28,7 @@
     name: str
     configuration: holder.ConfigurationHolder
     plans: plan.PlanHolder
-    view: view.View
+    view: view.BackendView
     poller: poller.Poller
     follower: following.PrefixFollower
     lease: lease.LeasedKey
@@ -77,7 +77,7 @@
     rng = random.Random(f"{seed}:{name}")
     store = platform.client(name)
     configuration_holder = holder.ConfigurationHolder(configuration)
-    plans, observed_view, backends = plan.PlanHolder(), view.View(), engines.new_client()
+    plans, observed_view, backends = plan.PlanHolder(), view.BackendView(), engines.new_client()
     planner_lease = lease.LeasedKey(store, planner.PLANNER_KEY, name.encode(), LEASE_TTL_S, rng)
     node_planner = planner.Planner(
         configuration_holder,
--- a/standins/replicas.py
+++ b/standins/replicas.py
@@ -35,17 +35,17 @@
         slots=slots,
         memory_tokens=795_000,
         step_s=0.006,
-        stride=7,
+        steps_per_pass=7,
         prefill_tokens_per_s=50_700.0,
-        form_s=FORM_S,
+        formation_time_s=FORM_S,
         loads_per_s=4.5,
-        loads_at_once=6,
+        max_concurrent_loads=6,
     )
 
 
 def new_routes(engine: table.Engine, *routes: table.Route, version: int = 1) -> table.RouteTable:
     """Return a route table with one model service and the plain services that the routes name."""
-    names = {share.service for route in routes for share in route.split} - {SERVICE}
+    names = {share.service for route in routes for share in route.service_shares} - {SERVICE}
     services = {name: table.Service(name, 0.0) for name in names}
     services[SERVICE] = table.Service(SERVICE, 36.0, engine)
     hosts: dict[str, dict[str, table.Route]] = {}
--- a/standins/routers.py
+++ b/standins/routers.py
@@ -30,7 +30,7 @@
 
     name: str
     router: router.Router
-    view: view.View
+    view: view.BackendView
     backends: backends.MemoryBackendClient
     _cancel_scopes: list[trio.CancelScope] = attrs.field(factory=list)
 
@@ -82,7 +82,7 @@
     def add_entry(self, name: str) -> RoutingEntry:
         """Start an entry."""
         rng = random.Random(f"{self.seed}:{name}")
-        observed_view = view.View()
+        observed_view = view.BackendView()
         backend_client = backends.MemoryBackendClient(
             {server.vm + ":1": server for server in self.servers}, self.nursery, self.token_count
         )
@@ -95,7 +95,7 @@
             view=observed_view,
             platform=self.platform.client(name),
             backends=backend_client,
-            entries=lambda: sorted(self.entries),
+            serving_entries=lambda: sorted(self.entries),
             rng=rng,
         )
         entry = RoutingEntry(name, self.build(dependencies), observed_view, backend_client)
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -142,21 +142,27 @@
 MUTANTS = {
     promises.complete_groups: (
         _call_while_groups_form,
-        (candidates.CandidateFinder, "_is_whole", lambda *_: True),
+        (candidates.CandidateFinder, "_is_group_complete", lambda *_: True),
     ),
     promises.one_group_per_vm: (_form_groups, (spreading, "Spreading", _SameMembersPlacement)),
-    promises.cold_servers: (_send_orders_at_once, (cold.SlotShares, "share", lambda *_: 100)),
+    promises.cold_servers: (
+        _send_orders_at_once,
+        (cold.SharedLimit, "request_limit", lambda *_: 100),
+    ),
     promises.zones_out: (
         _take_zone_out,
-        (candidates.CandidateFinder, "_may_work", lambda *_: True),
+        (candidates.CandidateFinder, "_is_usable", lambda *_: True),
     ),
-    promises.whole_answers: (_cut_stream, (app, "_break_off", _end_stream_cleanly)),
+    promises.whole_answers: (_cut_stream, (app, "_abort_stream", _end_stream_cleanly)),
     promises.true_refusals: (_kill_server_with_order, (problems, "body", _claim_did_not_run)),
     promises.at_most_once: (
         _kill_server_with_order,
         (rules.Service, "may_repeat", lambda *_: True),
     ),
-    promises.leaving_servers: (_make_server_leave, (view.View, "is_leaving", lambda *_: False)),
+    promises.leaving_servers: (
+        _make_server_leave,
+        (view.BackendView, "is_leaving", lambda *_: False),
+    ),
     promises.graceful_stops: (_stop_entry, (entry.EntryApplication, "stop", _stop_immediately)),
     promises.configurations: (
         _deliver_late_configuration,
--- a/tests/test_order_keys.py
+++ b/tests/test_order_keys.py
@@ -16,8 +16,8 @@
     def with_peers(self, body):
         async def introduced(store, sender, a, b):
             for entry, other in ((a, b), (b, a)):
-                entry.order_handler.issued.roster.update_from_peer(
-                    other.order_handler.issued.roster.own
+                entry.order_handler.issued_executor.roster.update_from_peer(
+                    other.order_handler.issued_executor.roster.own
                 )
             await body(store, sender, a, b)
 
@@ -53,7 +53,7 @@
             key = a.issue_key()
             await a.send_order(order_fakes.new_request(key))
             a.kill()
-            b.order_handler.issued.roster.forget("a")
+            b.order_handler.issued_executor.roster.remove("a")
             restarted = order_fakes.new_entry("a", store, sender)
             for entry in (b, restarted):
                 answer = await entry.send_order(order_fakes.new_request(key))
@@ -71,7 +71,7 @@
                 await a.send_order(order_fakes.new_request(key))
             self.assertEqual(0, await a.order_handler.drain(timeout_s=30))
             a.kill()
-            b.order_handler.issued.roster.forget("a")
+            b.order_handler.issued_executor.roster.remove("a")
             for key in used:
                 answer = await b.send_order(order_fakes.new_request(key))
                 self.assertEqual((200, "ran", b"done"), answer)
@@ -118,7 +118,7 @@
                 answer = await a.send_order(order_fakes.new_request(key))
                 self.assertEqual(("outcome-unknown", "unknown"), answer[:2])
             self.assertEqual(1, len(sender.executed_ids))
-            self.assertFalse(a.order_handler.issued._used_keys)
+            self.assertFalse(a.order_handler.issued_executor._used_keys)
 
         self.with_peers(body)
 
--- a/tests/test_replica_sequences.py
+++ b/tests/test_replica_sequences.py
@@ -51,7 +51,7 @@
         """Run a request in every group that entries would send requests to."""
         for node in self.cluster.nodes.values():
             for group in node.group_table.groups.values():
-                if not group.is_ending and group.is_open(node.registry):
+                if not group.is_ending and group.is_open(node.server_registry):
                     size = self.cluster.engine.model(group.record.model).size
                     self.cluster.fleet.check_request(group.head.server_id, size)
 
@@ -153,7 +153,9 @@
     @clocked.on_test_clock
     async def test_opening_before_all_are_ready_is_caught(self):
         states = tuple(servers.GroupState)
-        await self._assert_violation_found(unittest.mock.patch.object(driver, "JOINED", states))
+        await self._assert_violation_found(
+            unittest.mock.patch.object(driver, "JOINED_STATES", states)
+        )
 
     @clocked.on_test_clock
     async def test_reusing_the_members_of_a_head_that_may_still_serve_is_caught(self):
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -199,7 +199,7 @@
             refused = unittest.mock.AsyncMock(return_value=orders.OrderOutcome.REFUSED)
             with (
                 unittest.mock.patch.object(cluster.fleet.__class__, "_change", refused),
-                unittest.mock.patch.object(driver, "ORDER_AGAIN_S", 0.1),
+                unittest.mock.patch.object(driver, "ORDER_RETRY_S", 0.1),
             ):
                 node = cluster.start("entry-1")
                 await trio.sleep(25)
@@ -374,9 +374,11 @@
             group = node.serving_groups("large")[0]
             self.assertIs(
                 servers.GroupState.OPEN,
-                node.registry.servers[group.head.server_id].state_in(group.name, group.epoch),
+                node.server_registry.servers[group.head.server_id].state_in(
+                    group.name, group.epoch
+                ),
             )
             await cluster.fleet.restart(group.record.members[1].server_id)
             await trio.sleep(0.1)
-            self.assertFalse(group.is_open(node.registry))
+            self.assertFalse(group.is_open(node.server_registry))
             nursery.cancel_scope.cancel()
--- a/tools/capacity/state.py
+++ b/tools/capacity/state.py
@@ -119,7 +119,7 @@
 
 def report_processing_ms(vms: int) -> float:
     """Return the processor time to decode and record one report of every VM."""
-    fleet_view = view.View()
+    fleet_view = view.BackendView()
     bodies = [codec.to_json(sample_report(number)) for number in range(vms)]
     timestamps = iter(range(1_000_000))
 
@@ -155,8 +155,8 @@
 )
 
 
-def _populated_view(vms: int) -> view.View:
-    fleet_view = view.View()
+def _populated_view(vms: int) -> view.BackendView:
+    fleet_view = view.BackendView()
     for number in range(vms):
         body = codec.to_json(sample_report(number))
         fleet_view.record_report(f"vm-{number:05d}", codec.from_json(body, client.Report), 1.0)
--- a/tools/measure/orders.py
+++ b/tools/measure/orders.py
@@ -59,15 +59,15 @@
         entry = orders.new_entry(name, self.store, self.sender, CLAIM_CALLS_PER_S)
         if claim_method == SINGLE:
             bucket = limits.TokenBucket(lambda: CLAIM_CALLS_PER_S / ENTRIES, 28)
-            claims = entry.order_handler.claimed.claims
+            claims = entry.order_handler.claimed_executor.claims
             claims.committer = commits.SingleCommitter(self.store, bucket)
         await self.nursery.start(entry.run)
         for other in self.entries:
-            other.order_handler.issued.roster.update_from_peer(
-                entry.order_handler.issued.roster.own
+            other.order_handler.issued_executor.roster.update_from_peer(
+                entry.order_handler.issued_executor.roster.own
             )
-            entry.order_handler.issued.roster.update_from_peer(
-                other.order_handler.issued.roster.own
+            entry.order_handler.issued_executor.roster.update_from_peer(
+                other.order_handler.issued_executor.roster.own
             )
         self.entries.append(entry)
         return entry
@@ -269,9 +269,9 @@
         else:
             killed_entry = site.entries.pop(rng.randrange(len(site.entries)))
             killed_entry.kill()
-            name = killed_entry.order_handler.issued.roster.own.entry
+            name = killed_entry.order_handler.issued_executor.roster.own.entry
             for other in site.entries:
-                other.order_handler.issued.roster.forget(name)
+                other.order_handler.issued_executor.roster.remove(name)
             await site.add(name)
     site.store.faults.clear()
 
@@ -363,7 +363,7 @@
         store = orders.FakeKeyValueClient(latency_s=0.0)
         site = _Site(store, orders.FakeDispatcher(processing_s=0.0), [], nursery)
         entry = await site.add("entry-0")
-        entry.order_handler.claimed.claims.committer.bucket.rate_per_s = lambda: 1e6
+        entry.order_handler.claimed_executor.claims.committer.bucket.rate_per_s = lambda: 1e6
         keys = iter(
             [_key(site, entry, claim_method, number) for number in range(ORDERS_PER_COST_RUN)]
         )
--- a/tools/measure/placement.py
+++ b/tools/measure/placement.py
@@ -63,7 +63,9 @@
     steady = attrs.evolve(placement_input, plans=plans)
     steady_s, _ = _timed(policy, steady)
     lost = next(iter(plans.values())).groups[0].members[0]
-    failed = attrs.evolve(steady, usable=placement_input.usable - {lost}, lost=frozenset({lost}))
+    failed = attrs.evolve(
+        steady, usable_vms=placement_input.usable_vms - {lost}, lost_vms=frozenset({lost})
+    )
     failure_s, _ = _timed(policy, failed)
     input_build_s = _input_build_s(configuration, placement_result)
     return (first_s * 1e3, steady_s * 1e3, failure_s * 1e3, peak_kb, input_build_s * 1e3)
@@ -85,7 +87,7 @@
 
 def _input_build_s(configuration, placement_result: placement.Placement) -> float:
     async def build_input() -> float:
-        plans, fleet_view = plan.PlanHolder(), view.View()
+        plans, fleet_view = plan.PlanHolder(), view.BackendView()
         for revision, each in enumerate(placement_result.changed, 1):
             plans.apply(plan.VersionedDomainPlan(each, revision))
         for vm in configuration.inventory.vms:
--- a/tools/measure/routing.py
+++ b/tools/measure/routing.py
@@ -236,5 +236,7 @@
     return spent_s / DECISIONS * 1e6
 
 
-def _record_report(fleet_view: view.View, report: client.Report, requested_at_s: float) -> None:
+def _record_report(
+    fleet_view: view.BackendView, report: client.Report, requested_at_s: float
+) -> None:
     fleet_view.record_report(report.vm, report, requested_at_s)
--- a/toucanhold/entry.py
+++ b/toucanhold/entry.py
@@ -63,7 +63,7 @@
         self.store = store.ConfigurationStore(self.platform)
         self.reader = reading.ConfigurationReader(self.store, self.configuration)
         self.plans = plan.PlanHolder()
-        self.view = view.View()
+        self.view = view.BackendView()
         self.poller = poller.Poller(self.configuration, self.backends, self.view, self.rng)
         self._build_membership()
         self._build_peers()
@@ -78,7 +78,7 @@
         await nursery.start(self.peers.run)
         nursery.start_soon(self.permit.run)
         nursery.start_soon(self.revisions.run)
-        nursery.start_soon(self.holds.run)
+        nursery.start_soon(self.hold_broadcaster.run)
         nursery.start_soon(self.configuration_follower.run)
         nursery.start_soon(self.plan_follower.run)
         nursery.start_soon(self.roster_follower.run)
@@ -157,7 +157,7 @@
             self.roster,
             self.facts,
         )
-        self.holds = holds.HoldBroadcaster(
+        self.hold_broadcaster = holds.HoldBroadcaster(
             entry_settings.entry,
             self.exchange,
             self.configuration,
@@ -223,7 +223,7 @@
                 view=self.view,
                 platform=self.platform,
                 backends=self.backends,
-                entries=self._serving_entries,
+                serving_entries=self._serving_entries,
                 may_start=self.permit.may_start,
                 rng=self.rng,
                 max_in_flight=self.settings.max_requests_in_flight,
@@ -273,7 +273,7 @@
         operators_changes = changes.ChangeCoordinator(
             self.store,
             self.configuration,
-            self.holds,
+            self.hold_broadcaster,
             self.roster,
             self.facts,
             self.reader.refresh,
@@ -335,5 +335,5 @@
         for fact in self.facts.others():
             entry = fact.member.entry
             if entry not in connected and not self.roster.is_listed(entry):
-                self.facts.forget(entry)
-                self.roster.forget(entry)
+                self.facts.remove(entry)
+                self.roster.remove(entry)
--- a/toucanhold/gateway/admission.py
+++ b/toucanhold/gateway/admission.py
@@ -33,14 +33,14 @@
 
     :ivar latest_start_s: trio clock time after which the response misses its objective
     :ivar excluded: IDs of servers to use only if there are no others
-    :ivar placed: set when ``server`` has been assigned
+    :ivar assigned: set when ``server`` has been assigned
     """
 
     service: table.Service
     model: str
     latest_start_s: float
     excluded: collections.abc.Set[str]
-    placed: trio.Event = attrs.field(factory=trio.Event)
+    assigned: trio.Event = attrs.field(factory=trio.Event)
     server: servers.Server | None = None
 
 
@@ -48,10 +48,10 @@
 class Admission:
     """Places requests on servers and queues those for which no server has capacity.
 
-    :ivar targets: selects servers and tracks their load
+    :ivar server_selector: selects servers and tracks their load
     """
 
-    targets: targets.ServerSelector
+    server_selector: targets.ServerSelector
     _queue: list[tuple[int, int, _Waiter]] = attrs.field(factory=list, init=False)
     _queue_filled: trio.Event = attrs.field(factory=trio.Event, init=False)
     _arrival_numbers: collections.abc.Iterator[int] = attrs.field(
@@ -69,24 +69,24 @@
         """Return whether a server that is not excluded has capacity now."""
         candidates = [
             server
-            for server in self.targets.find_candidates(service, model)
+            for server in self.server_selector.find_candidates(service, model)
             if server.server_id not in excluded
         ]
-        return self.targets.choose(service, candidates, frozenset()) is not None
+        return self.server_selector.choose(service, candidates, frozenset()) is not None
 
     @contextlib.asynccontextmanager
     async def place(
         self,
         service: table.Service,
         model: str,
-        rank: int,
+        priority: int,
         max_wait_s: float,
         latest_start_s: float,
         excluded: collections.abc.Set[str] = frozenset(),
     ) -> collections.abc.AsyncIterator[servers.Server]:
         """Reserve a slot on a server while the context is open.
 
-        :param rank: priority; 0 is most urgent
+        :param priority: 0 is the most urgent
         :param max_wait_s: maximum time in the queue
         :param latest_start_s: trio clock time after which the response misses its objective
         :param excluded: IDs of servers to use only if there are no others
@@ -96,12 +96,12 @@
         server = self._try_place_immediately(service, model, excluded)
         if server is None:
             server = await self._wait_in_queue(
-                service, model, rank, max_wait_s, latest_start_s, excluded
+                service, model, priority, max_wait_s, latest_start_s, excluded
             )
         try:
             yield server
         finally:
-            self.targets.loads.remove(server.server_id)
+            self.server_selector.load_tracker.remove(server.server_id)
             self.dispatch()
 
     async def run(self) -> None:
@@ -117,7 +117,7 @@
         """Assign servers with capacity to queued requests in queue order."""
         now_s = trio.current_time()
         queued, self._queue = self._queue, []
-        # By rank, then requests that can still be on time, then by arrival.
+        # By priority, then requests that can still be on time, then by arrival.
         queued.sort(key=lambda item: (item[0], item[-1].latest_start_s < now_s, item[1]))
         full_keys: set[tuple[str, str]] = set()
         for item in queued:
@@ -131,7 +131,7 @@
                 self._queue.append(item)
                 continue
             waiter.server = server
-            waiter.placed.set()
+            waiter.assigned.set()
 
     def _try_place_immediately(
         self, service: table.Service, model: str, excluded: collections.abc.Set[str]
@@ -146,35 +146,35 @@
     def _try_place(
         self, service: table.Service, model: str, excluded: collections.abc.Set[str]
     ) -> servers.Server | None:
-        candidates = self.targets.find_candidates(service, model)
-        server = self.targets.choose(service, candidates, excluded)
+        candidates = self.server_selector.find_candidates(service, model)
+        server = self.server_selector.choose(service, candidates, excluded)
         if server is not None:
-            self.targets.record_placement(server)
+            self.server_selector.record_placement(server)
         return server
 
     async def _wait_in_queue(
         self,
         service: table.Service,
         model: str,
-        rank: int,
+        priority: int,
         max_wait_s: float,
         latest_start_s: float,
         excluded: collections.abc.Set[str],
     ) -> servers.Server:
-        if not self.targets.find_candidates(service, model) and not self._may_become_available(
+        if not self.server_selector.find_candidates(
             service, model
-        ):
+        ) and not self._may_become_available(service, model):
             raise self._new_refusal(calls.RefusalReason.NO_SERVER)
         waiter = _Waiter(service, model, latest_start_s, excluded)
-        item = (rank, next(self._arrival_numbers), waiter)
+        item = (priority, next(self._arrival_numbers), waiter)
         self._queue_filled.set()
         self._queue.append(item)
         try:
             with trio.move_on_after(max_wait_s):
-                await waiter.placed.wait()
+                await waiter.assigned.wait()
         except trio.Cancelled:
             if waiter.server is not None:
-                self.targets.loads.remove(waiter.server.server_id)
+                self.server_selector.load_tracker.remove(waiter.server.server_id)
             raise
         finally:
             if item in self._queue:
@@ -184,8 +184,8 @@
         return waiter.server
 
     def _may_become_available(self, service: table.Service, model: str) -> bool:
-        return service.engine is None or self.targets.is_group_forming(service, model)
+        return service.engine is None or self.server_selector.is_group_forming(service, model)
 
     def _new_refusal(self, reason: calls.RefusalReason) -> calls.CallError:
-        jitter_s = self.targets.rng.uniform(0, RETRY_JITTER_S)
+        jitter_s = self.server_selector.rng.uniform(0, RETRY_JITTER_S)
         return calls.CallError(reason, retry_after_s=RETRY_AFTER_S + jitter_s)
--- a/toucanhold/gateway/gateway.py
+++ b/toucanhold/gateway/gateway.py
@@ -38,17 +38,17 @@
 class Gateway:
     """Serves calls according to the newest route table.
 
-    :ivar servers: sends calls to backend servers
+    :ivar server_client: sends calls to backend servers
     :ivar in_flight: number of calls without a final response
     """
 
     routes: table.RouteTableHolder
-    servers: calls.ServerClient
+    server_client: calls.ServerClient
     admission: admission.Admission
-    retries: budget.RetryBudget
+    retry_budget: budget.RetryBudget
     health: health.Health
-    crashes: crashes.CrashTracker
-    silence: silence.SilenceDetector
+    crash_tracker: crashes.CrashTracker
+    silence_detector: silence.SilenceDetector
     rng: random.Random
     in_flight: int = attrs.field(default=0, init=False)
 
@@ -98,7 +98,7 @@
         reply: calls.Reply,
     ) -> int:
         service = routes.services[route.draw_service(self.rng)]
-        self.retries.record_request(service.name)
+        self.retry_budget.record_request(service.name)
         deadline_s = min(call.deadline_s, call.arrived_s + route.timeout_s)
         state = attempt.CallState(call, route, service, workspace, deadline_s, reply)
         status = 0
@@ -118,7 +118,7 @@
         fingerprint = crashes.request_fingerprint(state.call, state.workspace_name)
         excluded: set[str] = set()
         while True:
-            if self.crashes.is_blocked(fingerprint):
+            if self.crash_tracker.is_blocked(fingerprint):
                 reason = calls.RefusalReason.CRASHES_SERVERS
                 self._raise_failure(state, reason, CRASHING_RETRY_AFTER_S)
             try:
@@ -131,17 +131,17 @@
                 state.record_lost_response()
                 self.health.record_outcome(state.server_id, is_failure=True)
                 if error.is_connection_lost:
-                    self.crashes.record_crash(fingerprint)
+                    self.crash_tracker.record_crash(fingerprint)
                 self._check_retry(state, error)
             else:
-                self.crashes.clear(fingerprint)
+                self.crash_tracker.clear(fingerprint)
                 return status
 
     async def _run_attempt(self, state: attempt.CallState, excluded: set[str]) -> int:
         route = state.route
-        rank = route.rank
-        if state.workspace is not None and state.workspace.rank is not None:
-            rank = state.workspace.rank
+        priority = route.priority
+        if state.workspace is not None and state.workspace.priority is not None:
+            priority = state.workspace.priority
         max_wait_s = MAX_WAIT_FRACTION * (state.deadline_s - trio.current_time())
         latest_start_s = state.latest_start_s
         if state.has_response_started:
@@ -154,7 +154,7 @@
             placement = self.admission.place(
                 state.service,
                 state.call.model,
-                rank,
+                priority,
                 max_wait_s,
                 latest_start_s,
                 frozenset(excluded),
@@ -164,7 +164,12 @@
                     self._may_fail_over, state, excluded | {server.server_id}
                 )
                 return await attempt.run_attempt(
-                    state, server, self.servers, self.silence, self.health, may_fail_over
+                    state,
+                    server,
+                    self.server_client,
+                    self.silence_detector,
+                    self.health,
+                    may_fail_over,
                 )
         except calls.CallError as error:
             if state.has_response_started:
@@ -175,8 +180,8 @@
 
     def _may_fail_over(self, state: attempt.CallState, excluded: set[str]) -> bool:
         if (
-            state.runs >= state.route.attempts + state.extra_attempts
-            or not self.retries.has_remaining(state.service.name)
+            state.attempt_count >= state.route.max_attempts + state.extra_attempts
+            or not self.retry_budget.has_remaining(state.service.name)
         ):
             return False
         return self.admission.has_capacity(state.service, state.call.model, excluded)
@@ -187,14 +192,14 @@
         excluded.add(state.server_id)
         if error.is_gone:
             self.health.avoid(state.server_id, str(error))
-            self.silence.on_silent(state.server_id)
+            self.silence_detector.on_silent(state.server_id)
         if error.at_fault:
             # The head names the group member that prevents it from serving, so its failure is
             # permanent.
             self.health.avoid(
                 state.server_id, f"group member {error.at_fault} prevents the head from serving"
             )
-            self.silence.on_silent(state.server_id)
+            self.silence_detector.on_silent(state.server_id)
 
     def _check_retry(self, state: attempt.CallState, error: calls.ExchangeError) -> None:
         """Return if the call may be retried on another server, and consume a retry.
@@ -209,7 +214,7 @@
             request_id=state.call.call_id,
             server=state.server_id,
             failure=str(error),
-            runs=state.runs,
+            runs=state.attempt_count,
             after_event=state.last_event_id,
             reason=reason or None,
         )
@@ -221,11 +226,11 @@
         if isinstance(error, calls.ResponseLostError):
             if not state.route.may_repeat:
                 return "the request may have run, and its route allows no repeat"
-            if state.runs >= state.route.attempts + state.extra_attempts:
+            if state.attempt_count >= state.route.max_attempts + state.extra_attempts:
                 return "the maximum number of attempts of the route is reached"
         if state.deadline_s - trio.current_time() < MIN_REMAINING_S:
             return "too little time remains before the deadline"
-        if not self.retries.try_acquire(state.service.name):
+        if not self.retry_budget.try_acquire(state.service.name):
             return "the retry budget of the service is used up"
         return ""
 
--- a/toucanhold/observing/view.py
+++ b/toucanhold/observing/view.py
@@ -28,7 +28,7 @@
 
 
 @attrs.define(eq=False)
-class View:
+class BackendView:
     """This entry's observations by VM; they are kept in memory only.
 
     :ivar platform_leaving: VMs that the platform lists as leaving
@@ -101,7 +101,7 @@
         self._refusals[vm] = self._refusals.get(vm, 0) + 1
         self.record_failure(vm, now_s, reason)
 
-    def forget(self, vm: str) -> None:
+    def remove(self, vm: str) -> None:
         """Remove a VM that is no longer in the inventory."""
         self._observations.pop(vm, None)
         self._failing_since_s.pop(vm, None)
--- a/toucanhold/orders/claimed.py
+++ b/toucanhold/orders/claimed.py
@@ -58,7 +58,7 @@
         existing = self._orders.get(key)
         if existing is not None:
             return self._repeat_result(existing, fingerprint)
-        if self.runner.count >= MAX_UNSETTLED:
+        if self.runner.pending_count >= MAX_UNSETTLED:
             # Outcomes that cannot be stored yet are held in memory; the limit bounds that memory.
             detail = f"{MAX_UNSETTLED} orders are running or their outcome is not stored yet"
             return results.refusal(requests.Problem.OVERLOADED, detail, BUSY_RETRY_AFTER_S)
@@ -90,9 +90,9 @@
             if claim is not None:
                 await self._run_claimed(request, future, order, claim)
         finally:
-            self._forget(order)
+            self._remove(order)
 
-    def _forget(self, order: _ClaimedOrder) -> None:
+    def _remove(self, order: _ClaimedOrder) -> None:
         if self._orders.get(order.key) is order:
             del self._orders[order.key]
 
@@ -104,7 +104,7 @@
         except claims.ClaimUnavailableError as error:
             detail = f"this request did not run; repeat it with the same idempotency key: {error}"
             # A repeat may claim the key again at once. A claim that may exist is still deleted.
-            self._forget(order)
+            self._remove(order)
             future.set_result(
                 results.refusal(requests.Problem.CLAIM_UNAVAILABLE, detail, error.retry_after_s)
             )
--- a/toucanhold/planning/placement.py
+++ b/toucanhold/planning/placement.py
@@ -19,28 +19,30 @@
 
     :ivar configuration: the configuration in force
     :ivar plans: current plan of each fabric domain, by domain
-    :ivar usable: VMs that answer, are not leaving, and lie in an availability zone that is not out
-    :ivar lost: VMs that have ended, are leaving, or have not answered for too long
+    :ivar usable_vms: VMs that answer, are not leaving, and lie in an availability zone that is not
+        out
+    :ivar lost_vms: VMs that have ended, are leaving, or have not answered for too long
     :ivar reports: each VM's latest report regardless of age, by VM name
-    :ivar ended: generation keys of groups that were observed to lose a member
-    :ivar complete: generation keys of groups all of whose members report that they have joined
+    :ivar ended_generations: generation keys of groups that were observed to lose a member
+    :ivar complete_generations: generation keys of groups all of whose members report that they have
+        joined
     :ivar generation_floor: highest generation number that may have been used; new ones are greater
     :ivar substitutes: groups with a spare in a lost member's place, formed while the key-value
         service was unavailable, by the generation key of the planned group
-    :ivar unstable: VMs that restarted recently
+    :ivar unstable_vms: VMs that restarted recently
     :ivar settled_s: seconds since the set of usable VMs last changed
     """
 
     configuration: snapshot.Configuration
     plans: collections.abc.Mapping[str, plan.DomainPlan]
-    usable: frozenset[str]
-    lost: frozenset[str] = frozenset()
+    usable_vms: frozenset[str]
+    lost_vms: frozenset[str] = frozenset()
     reports: collections.abc.Mapping[str, client.Report] = attrs.field(factory=dict)
-    ended: frozenset[tuple[str, int]] = frozenset()
-    complete: frozenset[tuple[str, int]] = frozenset()
+    ended_generations: frozenset[tuple[str, int]] = frozenset()
+    complete_generations: frozenset[tuple[str, int]] = frozenset()
     generation_floor: int = 0
     substitutes: collections.abc.Mapping[tuple[str, int], plan.Group] = attrs.field(factory=dict)
-    unstable: frozenset[str] = frozenset()
+    unstable_vms: frozenset[str] = frozenset()
     settled_s: float = math.inf
 
     @functools.cached_property
@@ -50,20 +52,20 @@
 
     def is_broken(self, group: plan.Group) -> bool:
         """Return whether a group lost a member, which ends its generation."""
-        if group.generation_key in self.ended:
+        if group.generation_key in self.ended_generations:
             return True
         return any(self.has_left(member, group) for member in group.members)
 
     def reason_to_end(self, group: plan.Group) -> str:
         """Return the reason for ending a group, for the log."""
         for member in group.members:
-            if member in self.lost:
+            if member in self.lost_vms:
                 return f"{member} is lost or leaving"
             if self.has_left(member, group):
                 return f"{member} restarted or left the group"
-            if is_out(member, self):
+            if is_unavailable(member, self):
                 return f"the availability zone of {member} is taken out of service"
-        if group.generation_key in self.ended:
+        if group.generation_key in self.ended_generations:
             return "the group was observed to lose a member"
         service = self.configuration.rules.service(group.service)
         if service is None or not is_current(group, service):
@@ -80,7 +82,9 @@
             for each in planned.groups
             if each.service == group.service and not self.is_broken(each)
         ]
-        serving = [each for each in unbroken if not any(is_out(vm, self) for vm in each.members)]
+        serving = [
+            each for each in unbroken if not any(is_unavailable(vm, self) for vm in each.members)
+        ]
         if len(serving) < wanted:
             return f"only {len(serving)} of {wanted} replicas were planned"
         if service and any(not is_current(each, service) for each in serving):
@@ -93,8 +97,8 @@
         if report is None:
             # This entry has no report from the VM yet. Otherwise a planner that has just started
             # would end every group before its first polls return. A dead VM becomes lost soon.
-            return member in self.lost
-        if member in self.lost or not group.expects_boot(member, report.boot_id):
+            return member in self.lost_vms
+        if member in self.lost_vms or not group.expects_boot(member, report.boot_id):
             return True
         return group.formed and (report.group, report.generation) != group.generation_key
 
@@ -151,7 +155,7 @@
                 group.service == service.name for groups in kept.values() for group in groups
             )
             while placed_count < service.replicas:
-                domain = _domain_with_room(service, free)
+                domain = _domain_with_capacity(service, free)
                 if domain is None:
                     shortfalls.append(Shortfall(service.name, service.replicas, placed_count))
                     break
@@ -206,7 +210,7 @@
     free: dict[str, list[inventory.Vm]] = collections.defaultdict(list)
     for vm in inputs.configuration.inventory.vms:
         is_engine = vm.kind is inventory.VmKind.ENGINE
-        if is_engine and vm.vm in inputs.usable and vm.vm not in occupied:
+        if is_engine and vm.vm in inputs.usable_vms and vm.vm not in occupied:
             free[vm.fabric_domain].append(vm)
     return free
 
@@ -229,7 +233,7 @@
         and len(group.members) == service.vms_per_replica
         and is_current(group, service)
         and not inputs.is_broken(group)
-        and not any(is_out(member, inputs) for member in group.members)
+        and not any(is_unavailable(member, inputs) for member in group.members)
     )
 
 
@@ -238,7 +242,7 @@
     return (group.model, group.version) in (("", ""), (service.model, service.version))
 
 
-def is_out(member: str, inputs: PlacementInput) -> bool:
+def is_unavailable(member: str, inputs: PlacementInput) -> bool:
     """Return whether a VM is missing from the inventory or its availability zone is out."""
     vm = inputs.vms.get(member)
     return vm is None or vm.availability_zone in inputs.configuration.zones_out
@@ -258,7 +262,7 @@
     return remaining
 
 
-def _domain_with_room(
+def _domain_with_capacity(
     service: rules.Service, free: collections.abc.Mapping[str, list[inventory.Vm]]
 ) -> str | None:
     for domain in sorted(free):
--- a/toucanhold/routing/failures.py
+++ b/toucanhold/routing/failures.py
@@ -40,7 +40,7 @@
 class FailureDetector:
     """Decides by the reports after a lost connection whether the backend server failed."""
 
-    view: view.View
+    view: view.BackendView
     plans: plan.PlanHolder
     _boots: dict[str, str] = attrs.field(factory=dict, init=False)
     _unreachable: set[str] = attrs.field(factory=set, init=False)
@@ -55,7 +55,7 @@
     async def has_failed(
         self, boot: Boot, lost_at_s: float, vms_with_request: collections.abc.Callable[[], set[str]]
     ) -> bool:
-        """Tell whether a backend server failed alone when a connection to it was lost.
+        """Return whether a backend server failed alone when a connection to it was lost.
 
         False if it is alive, if other servers failed at the same time, or if nothing is known
         after ``VERDICT_TIMEOUT_S``.
--- a/toucanhold/routing/fairqueue.py
+++ b/toucanhold/routing/fairqueue.py
@@ -59,11 +59,11 @@
 
     configuration: holder.ConfigurationHolder
     finder: candidates.CandidateFinder
-    view: view.View
+    view: view.BackendView
     policy: choice.ChoicePolicy
-    in_flight: capacity.InFlight
+    in_flight: capacity.InFlightCounts
     capacity: capacity.CapacityPolicy
-    cold: cold.ColdPolicy
+    cold_policy: cold.ColdPolicy
     max_in_flight: int = 2000
     _queues: dict[tuple[str, str], _Queue] = attrs.field(factory=dict, init=False)
     _in_flight_by_workspace: collections.Counter[str] = attrs.field(
@@ -99,7 +99,7 @@
                 now_s = trio.current_time()
                 queue.rate.record_finished(now_s, now_s - started_s)
             else:
-                self.cold.record_unfinished_end(chosen.vm.vm, chosen.report.boot_id)
+                self.cold_policy.record_unfinished_end(chosen.vm.vm, chosen.report.boot_id)
             self._release(chosen, request)
 
     def expected_duration_s(self, request: requests.CallerRequest) -> float:
@@ -134,7 +134,7 @@
     ) -> candidates.Candidate:
         now_s = trio.current_time()
         wait_s = self._expected_wait_s(queue, request.workspace, now_s)
-        # Queueing a request that cannot be served in time would keep its caller from asking
+        # Queueing a request that cannot be served in time would keep its caller from trying
         # another entry, and take the place of a request that can still be served.
         if wait_s > min(MAX_EXPECTED_WAIT_S, request.deadline_s - now_s - queue.rate.duration_s):
             raise _refusal_error(
--- a/toucanhold/routing/isolation.py
+++ b/toucanhold/routing/isolation.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define(eq=False)
-class Isolations:
+class IsolationTable:
     """Backend servers that this entry or a peer reserves for one suspected request each."""
 
     exchange: exchange.Exchange
@@ -58,7 +58,7 @@
     """Wraps another policy and reports isolated backend servers as full."""
 
     inner: capacity.CapacityPolicy
-    isolations: Isolations
+    isolations: IsolationTable
 
     def load(self, service: rules.Service, candidate: candidates.Candidate) -> float:
         """See :class:`capacity.CapacityPolicy`."""
@@ -81,11 +81,11 @@
 
     inner: admission.AdmissionPolicy
     finder: candidates.CandidateFinder
-    in_flight: capacity.InFlight
+    in_flight: capacity.InFlightCounts
     capacity: capacity.CapacityPolicy
-    cold: cold.ColdPolicy
+    cold_policy: cold.ColdPolicy
     tracker: incidents.IncidentTracker
-    isolations: Isolations
+    isolations: IsolationTable
     _isolating_services: set[str] = attrs.field(factory=set, init=False)
 
     def expected_duration_s(self, request: requests.CallerRequest) -> float:
@@ -96,7 +96,7 @@
     async def place(self, request: requests.CallerRequest, avoid: frozenset[str]):
         """See :class:`admission.AdmissionPolicy`."""
         tracked = self.tracker.tracked_request(request)
-        if self.tracker.table.is_empty() or not await self._must_isolate(tracked):
+        if self.tracker.suspect_table.is_empty() or not await self._must_isolate(tracked):
             async with self.inner.place(request, avoid) as placement:
                 with self.tracker.track(tracked, placement, False):
                     yield placement
@@ -109,10 +109,10 @@
             with self.tracker.track(tracked, placement, is_isolated):
                 yield placement
             if placement.is_finished and _is_completed(tracked.status):
-                self.tracker.table.clear(tracked.fingerprint)
+                self.tracker.suspect_table.clear(tracked.fingerprint)
 
     async def _must_isolate(self, tracked: incidents.TrackedRequest) -> bool:
-        table = self.tracker.table
+        table = self.tracker.suspect_table
         if tracked.is_isolated or table.may_be_quarantined(tracked.fingerprint):
             # It may have caused two failures. Deciding before the verdicts are in could crash a
             # third server, or refuse a request whose isolated server turns out to be alive.
@@ -143,7 +143,7 @@
             self.in_flight.remove(vm)
             self._finish_isolation(tracked, vm)
             if not placement.is_finished:
-                self.cold.record_unfinished_end(vm, candidate.report.boot_id)
+                self.cold_policy.record_unfinished_end(vm, candidate.report.boot_id)
 
     async def _wait_for_isolation(
         self, tracked: incidents.TrackedRequest, avoid: frozenset[str]
--- a/toucanhold/routing/router.py
+++ b/toucanhold/routing/router.py
@@ -37,7 +37,7 @@
 
     :ivar entry: this entry's name
     :ivar availability_zone: this entry's zone
-    :ivar entries: returns the names of all serving entries
+    :ivar serving_entries: returns the names of all serving entries
     :ivar max_in_flight: largest number of requests that this entry has in flight
     :ivar may_start: returns whether this entry's configuration is recent enough for new work
     """
@@ -46,10 +46,10 @@
     availability_zone: str
     configuration: holder.ConfigurationHolder
     plans: plan.PlanHolder
-    view: view.View
+    view: view.BackendView
     platform: keyvalue.KeyValueClient
     backends: client.BackendClient
-    entries: collections.abc.Callable[[], collections.abc.Sequence[str]]
+    serving_entries: collections.abc.Callable[[], collections.abc.Sequence[str]]
     rng: random.Random
     max_in_flight: int = 2000
     may_start: collections.abc.Callable[[], bool] = lambda: True
@@ -64,9 +64,9 @@
     """
 
     slots: slots.LeasedSlots
-    in_flight: capacity.InFlight
+    in_flight: capacity.InFlightCounts
     finder: candidates.CandidateFinder
-    cold: cold.ColdPolicy
+    cold_policy: cold.ColdPolicy
     capacity: capacity.CapacityPolicy
     choice: choice.ChoicePolicy
     admission: admission.AdmissionPolicy
@@ -89,13 +89,13 @@
 def build_default(dependencies: RouterDependencies) -> Router:
     """Return a router with the default policies."""
     leased = _leased_slots(dependencies)
-    in_flight = capacity.InFlight()
+    in_flight = capacity.InFlightCounts()
     finder = _finder(dependencies)
-    shares = cold.SlotShares(leased, dependencies.view)
+    shared_limit = cold.SharedLimit(leased, dependencies.view)
     capacity_policy = capacity.EstimatedCapacity(
-        in_flight, shares, dependencies.view, lambda: len(dependencies.entries())
+        in_flight, shared_limit, dependencies.view, lambda: len(dependencies.serving_entries())
     )
-    isolations = isolation.Isolations(dependencies.exchange)
+    isolations = isolation.IsolationTable(dependencies.exchange)
     usable = isolation.IsolatingCapacity(capacity_policy, isolations)
     policy = choice.TwoChoices(usable, dependencies.rng, dependencies.availability_zone)
     queue = fairqueue.FairQueue(
@@ -105,7 +105,7 @@
         policy,
         in_flight,
         usable,
-        shares,
+        shared_limit,
         dependencies.max_in_flight,
     )
     tracker = incidents.IncidentTracker(
@@ -115,21 +115,23 @@
         in_flight,
     )
     admission_policy = isolation.IsolatingAdmission(
-        queue, finder, in_flight, capacity_policy, shares, tracker, isolations
+        queue, finder, in_flight, capacity_policy, shared_limit, tracker, isolations
     )
     dispatcher = dispatch.Dispatcher(
         admission_policy,
         finder,
-        incidents.TrackingBackends(dependencies.backends, tracker),
+        incidents.TrackingBackendClient(dependencies.backends, tracker),
         watchdog.Watchdog(dependencies.view),
     )
-    return Router(leased, in_flight, finder, shares, usable, policy, queue, dispatcher, tracker)
+    return Router(
+        leased, in_flight, finder, shared_limit, usable, policy, queue, dispatcher, tracker
+    )
 
 
 def build_baseline(dependencies: RouterDependencies) -> Router:
     """Return a router with the baseline policies, for comparison measurements."""
     leased = _leased_slots(dependencies)
-    in_flight = capacity.InFlight()
+    in_flight = capacity.InFlightCounts()
     finder = _finder(dependencies)
     unshared_limit = cold.UnsharedLimit()
     capacity_policy = capacity.ReportedCapacity(in_flight, unshared_limit)
@@ -154,7 +156,7 @@
 
 def _leased_slots(dependencies: RouterDependencies) -> slots.LeasedSlots:
     return slots.LeasedSlots(
-        dependencies.platform, dependencies.entry, dependencies.entries, dependencies.rng
+        dependencies.platform, dependencies.entry, dependencies.serving_entries, dependencies.rng
     )
 
 
