--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -9,7 +9,7 @@
 from tests import clocked
 from toucanhold.coordination import mirror
 from toucanhold.registry import registry
-from toucanhold.replicas import order_sender, orders
+from toucanhold.replicas import ordering, orders
 
 
 @attrs.define(eq=False)
@@ -41,9 +41,7 @@
         server_registry = registry.Registry(
             mirror.Mirror(), replicas.REGISTRATIONS_PREFIX, replicas.decode_registration
         )
-        sender = order_sender.OrderSender(
-            LossyEngineClient(fleet, lost), server_registry, lambda: 1
-        )
+        sender = ordering.OrderSender(LossyEngineClient(fleet, lost), server_registry, lambda: 1)
         start_s = trio.current_time()
         report = await sender.probe(server)
         return report, sender.is_unreachable(server.incarnation), trio.current_time() - start_s
@@ -64,5 +62,5 @@
             report, is_unreachable, took_s = await self._probe(nursery, lost=2)
             self.assertIsNone(report)
             self.assertTrue(is_unreachable)
-            self.assertAlmostEqual(order_sender.PROBE_TIMEOUT_S, took_s, delta=0.01)
+            self.assertAlmostEqual(ordering.PROBE_TIMEOUT_S, took_s, delta=0.01)
             nursery.cancel_scope.cancel()
--- a/toucanhold/replicas/driver.py
+++ b/toucanhold/replicas/driver.py
@@ -9,7 +9,7 @@
 
 from toucanhold import events, notifier
 from toucanhold.registry import registry, servers
-from toucanhold.replicas import order_sender, orders, plan, records
+from toucanhold.replicas import ordering, orders, plan, records
 
 # Retry interval of orders that have had no effect; a join with a loaded model takes 0.2 s.
 ORDER_RETRY_S = 1.0
@@ -49,7 +49,7 @@
     group_table: records.GroupTable
     plan_writer: plan.PlanWriter
     server_registry: registry.Registry
-    order_sender: order_sender.OrderSender
+    order_sender: ordering.OrderSender
     changed: notifier.Notifier
     stall_s: float
     _started_at_s: float = attrs.field(factory=trio.current_time, init=False)
@@ -64,7 +64,7 @@
         try:
             while (group := self.group_table.groups.get(self.name)) is not None:
                 await self._step(group)
-        except* order_sender.NotPlannerError:
+        except* ordering.NotPlannerError:
             # A nursery raises it as an exception group, which ended the process when only the
             # bare exception was caught.
             LOGGER.debug("%s: no longer the planner", self.name)
--- a/toucanhold/replicas/planner.py
+++ b/toucanhold/replicas/planner.py
@@ -16,7 +16,7 @@
     composition,
     conversion,
     driver,
-    order_sender,
+    ordering,
     orders,
     plan,
     probing,
@@ -60,7 +60,7 @@
     engine_client: orders.EngineClient
     closed_zones: collections.abc.Callable[[], frozenset[str]]
     stall_s: float
-    order_sender: order_sender.OrderSender = attrs.field(init=False)
+    order_sender: ordering.OrderSender = attrs.field(init=False)
     prober: probing.Prober = attrs.field(init=False)
     _changed: notifier.Notifier = attrs.field(factory=notifier.Notifier, init=False)
     _driven_groups: set[str] = attrs.field(factory=set, init=False)
@@ -74,7 +74,7 @@
 
     def __attrs_post_init__(self) -> None:
         """Subscribe to registrations, group records and the planner key."""
-        self.order_sender = order_sender.OrderSender(
+        self.order_sender = ordering.OrderSender(
             self.engine_client, self.server_registry, self._fence
         )
         self.prober = probing.Prober(
@@ -362,7 +362,7 @@
     async def _send_order(self, server: servers.Server, order: orders.Order) -> None:
         try:
             await self.order_sender.send(server, order)
-        except order_sender.NotPlannerError:
+        except ordering.NotPlannerError:
             LOGGER.debug("%s: no longer the planner", server.server_id)
 
 
--- a/toucanhold/replicas/probing.py
+++ b/toucanhold/replicas/probing.py
@@ -8,7 +8,7 @@
 import trio
 
 from toucanhold.registry import registry, servers
-from toucanhold.replicas import order_sender, records
+from toucanhold.replicas import ordering, records
 
 # Probe interval of members whose registration has lapsed. A dead member stalls its group for up to
 # this long unless the group's streams reveal it sooner.
@@ -26,7 +26,7 @@
 
     group_table: records.GroupTable
     server_registry: registry.Registry
-    order_sender: order_sender.OrderSender
+    order_sender: ordering.OrderSender
     on_dead: collections.abc.Callable[[], None]
     _suspects: set[str] = attrs.field(factory=set, init=False)
     _last_probe_s: dict[str, float] = attrs.field(factory=dict, init=False)
